--- a/io/wire/former_test.go
+++ b/io/wire/former_test.go
@@ -187,8 +187,8 @@
 			body, err := hex.DecodeString(former[c.name])
 			is.NoErr(err)
 			again, err := c.back(body)
-			is.NoErr(err)                  // this build reads them
-			is.Equal(body, again)          // and no field gets lost
+			is.NoErr(err)                    // this build reads them
+			is.Equal(body, again)            // and no field gets lost
 			is.True(len(former[c.name]) > 0) // the list has the value
 		})
 	}
