--- a/core/once/atmostonce_test.go
+++ b/core/once/atmostonce_test.go
@@ -16,49 +16,51 @@
 )
 
 const (
-	// holdMillis is the longest time that the simulated network takes to open a
-	// connection, and again to deliver a message.
-	holdMillis = 150
-	// horizonMillis is later than the last event of a simulation.
+	// maxDelayMillis bounds the time that the simulated network takes to open a
+	// connection, and also the time that it takes to deliver a message.
+	maxDelayMillis = 150
+	// horizonMillis bounds the simulated time; every simulation must end before it.
 	horizonMillis = 100_000
 )
 
 type (
-	// event is a step of the simulation at an instant.
+	// event is a step of the simulation that is scheduled for an instant.
 	event struct {
 		at   clock.Millis
 		seq  int
 		step func()
 	}
 
-	// events is a heap in order of time.
+	// events is a heap of events ordered by time, then by order of scheduling.
 	events []event
 
-	// world is a simulated deployment: gates, a store, a network and faults.
-	world struct {
+	// simulation is a simulated deployment of gates, a store and a network with faults.
+	simulation struct {
 		t      *rapid.T
 		now    clock.Millis
 		seq    int
 		events events
 		faulty bool
-		gates  []*Fence
-		// records bounds the records of each gate.
-		records int
-		values  map[string][]byte
-		written map[string]ident.Revision
-		// ran counts executions by submission, ranKey by key.
-		ran    map[string]int
-		ranKey map[string]int
+		gates  []*Dedup
+		// maxRecords bounds the records of each gate.
+		maxRecords int
+		// values and revisions are the rows of the store, by idempotency key.
+		values    map[string][]byte
+		revisions map[string]ident.Revision
+		// executions counts the executions by submission, keyExecutions by idempotency
+		// key.
+		executions    map[string]int
+		keyExecutions map[string]int
 		// forwarded holds the request that was forwarded first for each key.
 		forwarded map[string]string
 	}
 
-	// submission is one caller's request at one ingress node.
+	// submission is a request of one caller at one ingress node.
 	submission struct {
-		w    *world
+		sim  *simulation
 		name string
 		key  string
-		// request stands for method, URI and body.
+		// request represents method, URI and body.
 		request  string
 		claim    *Claim
 		policy   *retry.Policy
@@ -66,7 +68,7 @@
 		current  ident.RequestID
 		crashed  bool
 		forwards int
-		// verdict is the answer to the caller, if answered.
+		// verdict is the verdict that the caller received; valid if answered is set.
 		verdict  result.Verdict
 		answered bool
 		replayed bool
@@ -86,167 +88,169 @@
 	return x
 }
 
-// after schedules a step.
-func (w *world) after(d clock.Millis, step func()) {
-	w.seq++
-	heap.Push(&w.events, event{w.now + d, w.seq, step})
+// after schedules a step to run after d.
+func (sim *simulation) after(d clock.Millis, step func()) {
+	sim.seq++
+	heap.Push(&sim.events, event{sim.now + d, sim.seq, step})
 }
 
 // run executes all steps in order of time.
-func (w *world) run() {
-	for w.events.Len() > 0 {
-		e := heap.Pop(&w.events).(event)
-		if w.now = e.at; w.now > horizonMillis {
-			w.t.Fatal("simulation does not end")
+func (sim *simulation) run() {
+	for sim.events.Len() > 0 {
+		e := heap.Pop(&sim.events).(event)
+		if sim.now = e.at; sim.now > horizonMillis {
+			sim.t.Fatal("simulation does not end")
 		}
 		e.step()
 	}
 }
 
-// fault draws a kind of fault from 0 (none) to kinds.
-func (w *world) fault(kinds int, label string) int {
-	if !w.faulty {
+// drawFault draws a kind of fault from 1 to kinds, or 0 for no fault.
+func (sim *simulation) drawFault(kinds int, label string) int {
+	if !sim.faulty {
 		return 0
 	}
-	return max(0, rapid.IntRange(-2*kinds, kinds).Draw(w.t, label))
+	return max(0, rapid.IntRange(-2*kinds, kinds).Draw(sim.t, label))
 }
 
-// delay draws a time on the network.
-func (w *world) delay() clock.Millis {
-	if !w.faulty {
+// drawDelay draws the time that the network takes to deliver a message.
+func (sim *simulation) drawDelay() clock.Millis {
+	if !sim.faulty {
 		return 1
 	}
-	return clock.Millis(rapid.IntRange(1, holdMillis-1).Draw(w.t, "delay"))
+	return clock.Millis(rapid.IntRange(1, maxDelayMillis-1).Draw(sim.t, "delay"))
 }
 
-// send delivers a message, or loses or duplicates it.
-func (w *world) send(deliver func()) {
-	switch w.fault(2, "network") {
+// send delivers, loses or duplicates a message.
+func (sim *simulation) send(deliver func()) {
+	switch sim.drawFault(2, "network") {
 	case 0:
-		w.after(w.delay(), deliver)
+		sim.after(sim.drawDelay(), deliver)
 	case 1: // lost
 	case 2:
-		w.after(w.delay(), deliver)
-		w.after(w.delay(), deliver)
+		sim.after(sim.drawDelay(), deliver)
+		sim.after(sim.drawDelay(), deliver)
 	}
 }
 
-// sendTo sends a message to a gate on a connection that opens after a delay. Every
-// copy of it arrives at the life that the connection leads to or never, as with
-// QUIC, but that life can be a later one than at the time of sending.
-func (w *world) sendTo(i int, deliver func()) {
-	w.after(w.delay(), func() {
-		life := w.gates[i]
-		w.send(func() {
-			if w.gates[i] == life {
+// sendTo sends a message to a gate on a connection that opens after a delay. As with
+// QUIC, a copy of it arrives only at the incarnation to which the connection was opened,
+// but the gate may have restarted between the call and the opening.
+func (sim *simulation) sendTo(i int, deliver func()) {
+	sim.after(sim.drawDelay(), func() {
+		connected := sim.gates[i]
+		sim.send(func() {
+			if sim.gates[i] == connected {
 				deliver()
 			}
 		})
 	})
 }
 
-// submit starts a request; an empty key means none.
-func (w *world) submit(name, key, request string) *submission {
-	s := &submission{w: w, name: name, key: key, request: request}
+// submit starts a request; an empty key means that it has no idempotency key.
+func (sim *simulation) submit(name, key, request string) *submission {
+	s := &submission{sim: sim, name: name, key: key, request: request}
 	s.policy = &retry.Policy{Budget: &retry.Budget{PerSecond: 1e6}, Rand: rand.New(rand.NewPCG(1, uint64(len(name))))}
-	s.policy.Budget.Call(w.now)
-	s.attempt = retry.Attempt{Route: model.Route{MaxAttempts: 3}, Deadline: w.now + 5000}
+	s.policy.Budget.Call(sim.now)
+	s.attempt = retry.Attempt{Route: model.Route{MaxAttempts: 3}, Deadline: sim.now + 5000}
 	if key == "" {
 		s.forward()
 		return s
 	}
 	s.claim = &Claim{ID: ident.RequestID(name), Fingerprint: Fingerprint("POST", []byte("/order"), []byte(request)), StoreMillis: 200}
-	s.act(s.claim.Begin(w.now))
-	w.after(200, func() { s.tick() })
-	if w.faulty && rapid.IntRange(0, 4).Draw(w.t, "crashes") == 0 {
-		w.after(clock.Millis(rapid.IntRange(0, 600).Draw(w.t, "crash")), func() { s.crashed = true })
+	s.perform(s.claim.Begin(sim.now))
+	sim.after(200, func() { s.tick() })
+	if sim.faulty && rapid.IntRange(0, 4).Draw(sim.t, "crashes") == 0 {
+		sim.after(clock.Millis(rapid.IntRange(0, 600).Draw(sim.t, "crash")), func() { s.crashed = true })
 	}
 	return s
 }
 
-// newWorld returns a world with gates whose records expire after the network has
-// lost or delivered every message.
-func newWorld(t *rapid.T, faulty bool) *world {
-	w := &world{
-		t: t, faulty: faulty, values: map[string][]byte{}, written: map[string]ident.Revision{},
-		ran: map[string]int{}, ranKey: map[string]int{}, forwarded: map[string]string{},
-		records: rapid.IntRange(1, 6).Draw(t, "records"),
+// newSimulation returns a simulation with gates whose records expire only after the
+// network has lost or delivered every message.
+func newSimulation(t *rapid.T, faulty bool) *simulation {
+	sim := &simulation{
+		t: t, faulty: faulty, values: map[string][]byte{}, revisions: map[string]ident.Revision{},
+		executions: map[string]int{}, keyExecutions: map[string]int{}, forwarded: map[string]string{},
+		maxRecords: rapid.IntRange(1, 6).Draw(t, "records"),
 	}
 	for i := range 3 {
-		w.gates = append(w.gates, w.newGate(ident.Incarnation(10*i+10)))
+		sim.gates = append(sim.gates, sim.newGate(ident.Incarnation(10*i+10)))
 	}
-	return w
+	return sim
 }
 
-// newGate returns a gate with small bounds.
-func (w *world) newGate(n ident.Incarnation) *Fence {
-	return &Fence{Gate: n, KeepMillis: 3 * holdMillis, MaxRecords: w.records, MaxBytes: 16}
+// newGate returns the deduplication of a gate, with small bounds so that they are
+// reached.
+func (sim *simulation) newGate(n ident.Incarnation) *Dedup {
+	return &Dedup{Gate: n, KeepMillis: 3 * maxDelayMillis, MaxRecords: sim.maxRecords, MaxBytes: 16}
 }
 
-// TestAtMostOnce guards against a second execution of one action, and against
-// NotRun for a request that ran, over losses, duplicates, late arrivals, voids,
-// gate restarts, store faults, crashes and resubmission through another node. It
-// also guards against a key that serves two different requests.
+// TestAtMostOnce guards against a second execution of one action, and against NotRun for
+// a request that ran, under losses, duplicates, delays, voids, gate restarts, store
+// faults, crashes and resubmission through another node. It also guards against a key
+// that is accepted for two different requests.
 func TestAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, true)
+		sim := newSimulation(t, true)
 		var all []*submission
 		for i := range rapid.IntRange(1, 4).Draw(t, "submissions") {
 			key := rapid.SampledFrom([]string{"", "k1", "k1", "k2"}).Draw(t, "key")
 			request := rapid.SampledFrom([]string{"r1", "r1", "r2"}).Draw(t, "request")
-			w.after(clock.Millis(rapid.IntRange(0, 600).Draw(t, "start")), func() {
-				all = append(all, w.submit(fmt.Sprintf("s%d", i), key, request))
+			sim.after(clock.Millis(rapid.IntRange(0, 600).Draw(t, "start")), func() {
+				all = append(all, sim.submit(fmt.Sprintf("s%d", i), key, request))
 			})
 		}
 		for range rapid.IntRange(0, 6).Draw(t, "restarts") {
-			w.after(clock.Millis(rapid.IntRange(0, 600).Draw(t, "restart")), func() {
-				i := rapid.IntRange(0, len(w.gates)-1).Draw(t, "gate")
-				w.gates[i] = w.newGate(w.gates[i].Gate + 1)
+			sim.after(clock.Millis(rapid.IntRange(0, 600).Draw(t, "restart")), func() {
+				i := rapid.IntRange(0, len(sim.gates)-1).Draw(t, "gate")
+				sim.gates[i] = sim.newGate(sim.gates[i].Gate + 1)
 			})
 		}
-		w.run()
+		sim.run()
 		for _, s := range all {
-			if w.ran[s.name] > 1 {
-				t.Fatalf("%s ran %d times", s.name, w.ran[s.name])
+			if sim.executions[s.name] > 1 {
+				t.Fatalf("%s ran %d times", s.name, sim.executions[s.name])
 			}
-			if s.answered && s.verdict == result.NotRun && w.ran[s.name] > 0 {
+			if s.answered && s.verdict == result.NotRun && sim.executions[s.name] > 0 {
 				t.Fatalf("%s was refused as not run, and ran", s.name)
 			}
-			if s.answered && s.verdict == result.Ran && w.ranKey[s.key] == 0 {
+			if s.answered && s.verdict == result.Ran && sim.keyExecutions[s.key] == 0 {
 				t.Fatalf("%s was answered, and never ran", s.name)
 			}
 			if !s.crashed && !s.answered {
 				t.Fatalf("%s was not answered", s.name)
 			}
 		}
-		for key, n := range w.ranKey {
+		for key, n := range sim.keyExecutions {
 			if key != "" && n > 1 {
 				t.Fatalf("key %s ran %d times", key, n)
 			}
 		}
-		for _, f := range w.gates {
-			if f.Tick(horizonMillis); f.Records() > 0 || f.Bytes() != 0 {
-				t.Fatalf("fence keeps %d records and %d bytes", f.Records(), f.Bytes())
+		for _, d := range sim.gates {
+			if d.Tick(horizonMillis); d.Records() > 0 || d.Bytes() != 0 {
+				t.Fatalf("gate keeps %d expired records and %d bytes", d.Records(), d.Bytes())
 			}
 		}
 	})
 }
 
-// TestResubmissionWithoutFaults guards against a claim that refuses everything,
-// and against one that replays or forwards for another request.
+// TestResubmissionWithoutFaults guards against a claim that refuses every request, and
+// against one that replays the outcome to, or forwards, a different request with the
+// same key.
 func TestResubmissionWithoutFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, false)
-		first := w.submit("first", "k", "r1")
-		w.run()
-		other := w.submit("other", "k", "r2")
-		w.run()
-		if other.verdict != result.NotRun || other.replayed || other.forwards > 0 || w.ran["other"] > 0 {
+		sim := newSimulation(t, false)
+		first := sim.submit("first", "k", "r1")
+		sim.run()
+		other := sim.submit("other", "k", "r2")
+		sim.run()
+		if other.verdict != result.NotRun || other.replayed || other.forwards > 0 || sim.executions["other"] > 0 {
 			t.Fatalf("another request: %s, replayed %t, forwarded %d times", other.verdict, other.replayed, other.forwards)
 		}
-		second := w.submit("second", "k", "r1")
-		w.run()
-		if first.verdict != result.Ran || w.ran["first"] != 1 || !second.replayed || w.ran["second"] != 0 {
+		second := sim.submit("second", "k", "r1")
+		sim.run()
+		if first.verdict != result.Ran || sim.executions["first"] != 1 || !second.replayed || sim.executions["second"] != 0 {
 			t.Fatalf("first %s, second replayed %t", first.verdict, second.replayed)
 		}
 	})
--- a/core/once/claim.go
+++ b/core/once/claim.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// ReadRow is a strong read of the key's row, answered by RowRead.
+	// ReadRow requests a strong read of the key's row; its result goes to RowRead.
 	ReadRow ActionKind = iota
-	// WriteRow is a conditional write, answered by RowWritten.
+	// WriteRow requests a conditional write of the row; its result goes to RowWritten.
 	WriteRow
-	// Forward sends the request to a target; Finished reports its outcome.
+	// Forward sends the request to a target; its outcome goes to Finished.
 	Forward
-	// ReplayOutcome answers the caller with the stored outcome.
+	// ReplayOutcome returns the stored outcome to the caller.
 	ReplayOutcome
-	// RefuseRequest answers the caller with a verdict and a reason.
+	// RefuseRequest refuses the caller's request with a verdict and a reason.
 	RefuseRequest
 )
 
@@ -24,189 +24,198 @@
 	Written WriteResult = iota
 	// Conflict means that the condition failed; the write had no effect.
 	Conflict
-	// Unknown means that the answer was lost.
+	// Unknown means that the response was lost, so the write may have taken effect
+	// or may still do so.
 	Unknown
 	// Failed means that the write certainly had no effect.
 	Failed
 )
 
 const (
-	// DefaultStoreMillis stands for a StoreMillis of 0.
+	// DefaultStoreMillis is used if StoreMillis is 0.
 	DefaultStoreMillis = clock.Second
-	// storeTries bounds the store calls of each phase of a claim.
-	storeTries = 8
-	// settleMillis is the pause before a store call is tried again after the
-	// claim; it doubles with each try.
-	settleMillis clock.Millis = 100
+	// maxStoreCalls bounds the store calls before the request is forwarded or refused,
+	// and again those after it.
+	maxStoreCalls = 8
+	// storeRetryMillis is the base delay of the exponential backoff between store calls
+	// in the storing stage.
+	storeRetryMillis clock.Millis = 100
 )
 
 // Reasons of a refusal.
 const (
-	ReasonStore     = "table service did not confirm the claim of the idempotency key"
-	ReasonClaimed   = "an earlier request with this idempotency key has no stored outcome"
-	ReasonOther     = "idempotency key was used with another request"
-	ReasonMalformed = "row of the idempotency key is malformed"
+	ReasonUnconfirmed = "table service did not confirm the claim of the idempotency key"
+	ReasonClaimed     = "an earlier request with this idempotency key has no stored outcome"
+	ReasonKeyReused   = "idempotency key was used with another request"
+	ReasonMalformed   = "row of the idempotency key is malformed"
 )
 
 const (
-	// claiming lasts until the request is forwarded or refused.
+	// claiming lasts until the request is forwarded, refused or answered from the row.
 	claiming stage = iota
 	// forwarded lasts until the request has finished.
 	forwarded
-	// storing lasts until the outcome or the release is in the row.
+	// storing lasts until the row is written as stored or released.
 	storing
-	// settled is the end.
-	settled
+	// done is the final stage.
+	done
 )
 
 type (
-	// ActionKind says what the ingress does.
+	// ActionKind indicates what the ingress does next.
 	ActionKind uint8
 
 	// WriteResult is the outcome of a conditional write.
 	WriteResult uint8
 
-	// Action is what the ingress does for a claim.
+	// Action is a step that the ingress takes for a claim.
 	Action struct {
 		Kind ActionKind
-		// Value and Condition are those of a WriteRow; Condition 0 means that the
-		// row must be absent.
+		// Value is the row that a WriteRow writes, and Condition the revision that the
+		// row must have; 0 means that it must be absent.
 		Value     []byte
 		Condition ident.Revision
-		// Outcome is that of a ReplayOutcome.
+		// Outcome is the stored outcome that a ReplayOutcome returns.
 		Outcome Outcome
-		// Verdict and Reason are those of a RefuseRequest. NotRun says that this
-		// submission was not run.
+		// Verdict and Reason are set for ReplayOutcome and RefuseRequest. NotRun means
+		// that this submission was not run.
 		Verdict result.Verdict
 		Reason  string
 	}
 
-	// stage is the progress of a claim.
+	// stage is the current step of a claim.
 	stage uint8
 
-	// Claim is the claim of an idempotency key by one submission. At most one
-	// store call is outstanding at a time, and the ingress answers each of them
-	// once, if only with Unknown. It is not safe for concurrent use.
+	// Claim is the state machine by which one submission claims an idempotency key and
+	// stores its outcome. At most one store call is outstanding at a time, and the
+	// ingress reports each result exactly once, with Unknown if the response was lost.
+	// It is not safe for concurrent use.
 	Claim struct {
-		// ID names the submission; never used by another one.
+		// ID identifies the submission and is unique to it.
 		ID ident.RequestID
-		// Fingerprint is that of the request; not zero.
+		// Fingerprint is the fingerprint of the request; not zero.
 		Fingerprint ident.Digest
 		// StoreMillis bounds the time from Begin to Forward.
 		StoreMillis clock.Millis
 
 		stage stage
-		// answered says that the caller got ReplayOutcome or RefuseRequest.
+		// answered is set once ReplayOutcome or RefuseRequest has been returned.
 		answered bool
-		// conflicted says that another submission's write was in the way.
+		// conflicted is set once a claim write has failed because of another
+		// submission's write.
 		conflicted bool
-		// uncertain says that a claim write without an answer may take effect.
+		// uncertain is set once the response to a claim write was lost; that write may
+		// still take effect.
 		uncertain bool
-		// target is the row to be stored after the claim.
-		target KeyRow
-		// revision is that of the own row, if known.
+		// finalRow is the stored or released row that replaces the claim.
+		finalRow KeyRow
+		// revision is the revision of this submission's row; 0 if unknown.
 		revision ident.Revision
 		deadline clock.Millis
-		// waiting says that a store call is outstanding; writing is the state that
-		// it writes, or empty for a read.
-		waiting bool
-		writing State
-		tries   int
-		// retryAt is the instant of the next try while storing.
+		// callPending is set while a store call is outstanding.
+		callPending bool
+		// writingState is the state that the last store call writes; empty for a read.
+		writingState State
+		// storeCalls counts the calls since the start of the stage, up to maxStoreCalls.
+		storeCalls int
+		// retryAt is the instant of the next store call in the storing stage.
 		retryAt clock.Millis
 	}
 )
 
-// Begin starts with a conditional create, which needs no read for a new key.
+// Begin starts the claim with a conditional create of the row, so that a new key needs
+// no read.
 func (c *Claim) Begin(now clock.Millis) []Action {
 	limit := c.StoreMillis
 	if limit <= 0 {
 		limit = DefaultStoreMillis
 	}
 	c.deadline = now + limit
-	return c.claim(0)
+	return c.writeClaim(0)
 }
 
-// RowRead takes the answer of a ReadRow. An absent row has revision 0; ok is
-// false if the read failed.
+// RowRead handles the result of a ReadRow. An absent row has revision 0; ok is false if
+// the read failed.
 func (c *Claim) RowRead(now clock.Millis, value []byte, revision ident.Revision, ok bool) []Action {
-	c.waiting = false
+	c.callPending = false
 	if !ok {
 		return c.storeFailed(now)
 	}
 	if revision == 0 {
-		return c.absent()
+		return c.rowAbsent()
 	}
 	row, err := DecodeKeyRow(value)
 	switch c.stage {
 	case claiming:
-		return c.found(now, row, revision, err)
+		return c.rowFound(now, row, revision, err)
 	case storing:
-		return c.settle(row, revision, err)
+		return c.replaceClaim(row, revision, err)
 	default:
 		return nil
 	}
 }
 
-// RowWritten takes the answer of a WriteRow; revision is the new one if Written.
+// RowWritten handles the result of a WriteRow; revision is the new revision if w is
+// Written.
 func (c *Claim) RowWritten(now clock.Millis, w WriteResult, revision ident.Revision) []Action {
-	c.waiting = false
-	late := c.stage == storing && c.writing == Claimed
+	c.callPending = false
+	lateClaim := c.stage == storing && c.writingState == Claimed
 	switch {
 	case c.stage == claiming && w == Written:
-		return c.won(now, revision)
+		return c.acquired(now, revision)
 	case c.stage == claiming && w == Conflict:
 		c.conflicted = true
-		return c.read()
+		return c.readRow()
 	case c.stage == claiming && w == Unknown:
 		c.uncertain = true
-		return c.read()
-	case late && w == Written:
-		// The claim took effect after the caller was refused.
-		return c.write(c.target, revision)
-	case late && w != Unknown && !c.uncertain:
-		c.stage = settled
+		return c.readRow()
+	case lateClaim && w == Written:
+		// The claim took effect after the request was refused, so it is released.
+		return c.writeRow(c.finalRow, revision)
+	case lateClaim && w != Unknown && !c.uncertain:
+		c.stage = done
 		return nil
 	case c.stage == storing && w == Written:
-		c.stage = settled
+		c.stage = done
 		return nil
 	case c.stage == storing && w == Conflict:
-		return c.read()
+		return c.readRow()
 	}
 	return c.storeFailed(now)
 }
 
-// Finished takes the verdict of the forwarded request and, if it ran, the
-// outcome to store. The caller gets its response without waiting for the store.
+// Finished handles the verdict of the forwarded request and, if it ran, the outcome to
+// store. The response to the caller does not wait for the store.
 func (c *Claim) Finished(now clock.Millis, v result.Verdict, o Outcome) []Action {
 	if c.stage != forwarded {
 		return nil
 	}
-	c.tries, c.retryAt = 0, now
+	c.storeCalls, c.retryAt = 0, now
 	switch v {
 	case result.NotRun:
-		c.target = c.row(Released, nil)
+		c.finalRow = c.ownRow(Released, nil)
 	case result.Ran:
-		c.target = c.row(Stored, &o)
+		c.finalRow = c.ownRow(Stored, &o)
 	default:
-		c.stage = settled // the claim without outcome refuses every resubmission
+		c.stage = done // the row stays claimed, so every resubmission is refused
 		return nil
 	}
-	if c.target.check() != nil {
-		c.stage = settled
+	if c.finalRow.check() != nil {
+		c.stage = done
 		return nil
 	}
 	c.stage = storing
-	return c.write(c.target, c.revision)
+	return c.writeRow(c.finalRow, c.revision)
 }
 
-// Tick refuses a claim that takes too long, and tries again to store.
+// Tick refuses the request once the claim has exceeded its deadline, and retries the
+// store call in the storing stage.
 func (c *Claim) Tick(now clock.Millis) []Action {
 	switch {
 	case c.stage == claiming && now >= c.deadline:
 		return c.refuse(now)
-	case c.stage == storing && !c.waiting && now >= c.retryAt:
-		return c.read()
+	case c.stage == storing && !c.callPending && now >= c.retryAt:
+		return c.readRow()
 	}
 	return nil
 }
@@ -216,30 +225,32 @@
 	switch {
 	case c.stage == claiming:
 		return c.deadline
-	case c.stage == storing && !c.waiting:
+	case c.stage == storing && !c.callPending:
 		return c.retryAt
 	}
 	return clock.Forever
 }
 
-// Settled reports whether nothing is left to do. A claim that waits for
-// Finished is not settled.
-func (c *Claim) Settled() bool {
-	return c.stage == settled
+// Done reports whether nothing is left to do. A claim that waits for Finished is not
+// done.
+func (c *Claim) Done() bool {
+	return c.stage == done
 }
 
-// row returns the own row.
-func (c *Claim) row(s State, o *Outcome) KeyRow {
+// ownRow returns a row of this submission in state s.
+func (c *Claim) ownRow(s State, o *Outcome) KeyRow {
 	return KeyRow{ClaimID: c.ID, Fingerprint: c.Fingerprint, State: s, Outcome: o}
 }
 
-// claim writes the own claim over a row that is absent or released.
-func (c *Claim) claim(condition ident.Revision) []Action {
-	return c.write(c.row(Claimed, nil), condition)
+// writeClaim writes this submission's claim on condition that the row is still absent
+// or released.
+func (c *Claim) writeClaim(condition ident.Revision) []Action {
+	return c.writeRow(c.ownRow(Claimed, nil), condition)
 }
 
-// won forwards the request, unless the caller was refused meanwhile.
-func (c *Claim) won(now clock.Millis, revision ident.Revision) []Action {
+// acquired handles a claim that took effect: it forwards the request, unless the
+// deadline has passed.
+func (c *Claim) acquired(now clock.Millis, revision ident.Revision) []Action {
 	c.revision = revision
 	if now >= c.deadline {
 		return c.refuse(now)
@@ -248,80 +259,83 @@
 	return []Action{{Kind: Forward}}
 }
 
-// absent handles a row that does not exist. While a lost write of this claim can
-// still arrive, a write under the same condition settles which of them counts.
-func (c *Claim) absent() []Action {
+// rowAbsent handles a row that does not exist. A write of this claim whose response was
+// lost may still take effect; only one of two writes with the same condition can
+// succeed, so another write decides the outcome.
+func (c *Claim) rowAbsent() []Action {
 	switch c.stage {
 	case claiming:
-		return c.claim(0)
+		return c.writeClaim(0)
 	case storing:
-		return c.write(c.target, 0)
+		return c.writeRow(c.finalRow, 0)
 	default:
 		return nil
 	}
 }
 
-// found handles an existing row while claiming.
-func (c *Claim) found(now clock.Millis, row KeyRow, revision ident.Revision, err error) []Action {
+// rowFound handles an existing row in the claiming stage.
+func (c *Claim) rowFound(now clock.Millis, row KeyRow, revision ident.Revision, err error) []Action {
 	switch {
 	case err != nil:
-		return c.end(Action{Kind: RefuseRequest, Verdict: result.MayHaveRun, Reason: ReasonMalformed})
+		return c.answer(Action{Kind: RefuseRequest, Verdict: result.MayHaveRun, Reason: ReasonMalformed})
 	case row.Fingerprint != c.Fingerprint:
-		return c.end(Action{Kind: RefuseRequest, Verdict: result.NotRun, Reason: ReasonOther})
+		return c.answer(Action{Kind: RefuseRequest, Verdict: result.NotRun, Reason: ReasonKeyReused})
 	case row.State == Stored:
-		return c.end(Action{Kind: ReplayOutcome, Outcome: *row.Outcome, Verdict: result.Ran, Reason: ReasonKept})
+		return c.answer(Action{Kind: ReplayOutcome, Outcome: *row.Outcome, Verdict: result.Ran, Reason: ReasonKept})
 	case row.State == Released:
-		return c.claim(revision)
+		return c.writeClaim(revision)
 	case row.ClaimID == c.ID:
-		return c.won(now, revision)
+		return c.acquired(now, revision)
 	default:
-		return c.end(Action{Kind: RefuseRequest, Verdict: result.MayHaveRun, Reason: ReasonClaimed})
+		return c.answer(Action{Kind: RefuseRequest, Verdict: result.MayHaveRun, Reason: ReasonClaimed})
 	}
 }
 
-// settle handles an existing row while storing: only the own claim is replaced.
-func (c *Claim) settle(row KeyRow, revision ident.Revision, err error) []Action {
+// replaceClaim handles an existing row in the storing stage. It overwrites only this
+// submission's claim.
+func (c *Claim) replaceClaim(row KeyRow, revision ident.Revision, err error) []Action {
 	if err != nil || row.ClaimID != c.ID || row.State != Claimed {
-		c.stage = settled
+		c.stage = done
 		return nil
 	}
-	return c.write(c.target, revision)
+	return c.writeRow(c.finalRow, revision)
 }
 
-// storeFailed handles a store call without a useful answer.
+// storeFailed handles a store call that failed or whose result is unknown.
 func (c *Claim) storeFailed(now clock.Millis) []Action {
 	switch {
 	case c.stage == claiming:
 		return c.refuse(now)
-	case c.stage == storing && c.tries >= storeTries:
-		c.stage = settled
+	case c.stage == storing && c.storeCalls >= maxStoreCalls:
+		c.stage = done
 	case c.stage == storing:
-		c.retryAt = now + settleMillis*clock.Millis(int(1)<<c.tries)
+		c.retryAt = now + storeRetryMillis*clock.Millis(int(1)<<c.storeCalls)
 	}
 	return nil
 }
 
-// refuse answers the caller and, as nothing was forwarded, releases the row if a
-// claim write may have taken effect.
+// refuse refuses the request before it was forwarded, and releases the row if a claim
+// write may have taken effect.
 func (c *Claim) refuse(now clock.Millis) []Action {
-	v, reason := result.NotRun, ReasonStore
+	v, reason := result.NotRun, ReasonUnconfirmed
 	if c.conflicted {
 		// The row exists and could not be read: it may hold the outcome of an
 		// earlier submission.
 		v, reason = result.MayHaveRun, ReasonClaimed
 	}
-	claimed := c.uncertain || c.revision != 0 || c.waiting && c.writing == Claimed
-	out := c.end(Action{Kind: RefuseRequest, Verdict: v, Reason: reason})
+	claimed := c.uncertain || c.revision != 0 || c.callPending && c.writingState == Claimed
+	out := c.answer(Action{Kind: RefuseRequest, Verdict: v, Reason: reason})
 	if claimed {
-		c.stage, c.tries, c.retryAt = storing, 0, now+settleMillis
-		c.target = c.row(Released, nil)
+		c.stage, c.storeCalls, c.retryAt = storing, 0, now+storeRetryMillis
+		c.finalRow = c.ownRow(Released, nil)
 	}
 	return out
 }
 
-// end answers the caller.
-func (c *Claim) end(a Action) []Action {
-	c.stage = settled
+// answer ends the claim with the action that answers the caller, unless the caller has
+// been answered already.
+func (c *Claim) answer(a Action) []Action {
+	c.stage = done
 	if c.answered {
 		return nil
 	}
@@ -329,40 +343,41 @@
 	return []Action{a}
 }
 
-// read returns a read of the row.
-func (c *Claim) read() []Action {
-	if c.exhausted() {
+// readRow returns a read of the row, or nothing if no store call is left.
+func (c *Claim) readRow() []Action {
+	if c.countCall() {
 		return nil
 	}
-	c.writing = ""
+	c.writingState = ""
 	return []Action{{Kind: ReadRow}}
 }
 
-// write returns a conditional write of the row.
-func (c *Claim) write(row KeyRow, condition ident.Revision) []Action {
-	if c.exhausted() {
+// writeRow returns a conditional write of the row, or nothing if no store call is left.
+func (c *Claim) writeRow(row KeyRow, condition ident.Revision) []Action {
+	if c.countCall() {
 		return nil
 	}
 	value, err := EncodeKeyRow(row)
 	if err != nil {
-		c.stage = settled
-		c.waiting = false
+		c.stage = done
+		c.callPending = false
 		return nil
 	}
-	c.writing = row.State
+	c.writingState = row.State
 	return []Action{{Kind: WriteRow, Value: value, Condition: condition}}
 }
 
-// exhausted counts a store call; after storeTries of them a claim that is being
-// stored stays as it is, and one that is not yet won waits for its deadline.
-func (c *Claim) exhausted() bool {
-	c.tries++
-	if c.tries <= storeTries {
-		c.waiting = true
+// countCall counts a store call and reports whether the limit of maxStoreCalls is
+// exceeded. In the storing stage the row then stays as it is; in the claiming stage the
+// claim waits for its deadline.
+func (c *Claim) countCall() bool {
+	c.storeCalls++
+	if c.storeCalls <= maxStoreCalls {
+		c.callPending = true
 		return false
 	}
 	if c.stage == storing {
-		c.stage = settled
+		c.stage = done
 	}
 	return true
 }
--- a/core/once/claim_test.go
+++ b/core/once/claim_test.go
@@ -8,8 +8,8 @@
 	"hickoryrail/core/result"
 )
 
-// TestLateClaimIsReleased guards against a key that stays claimed although its
-// submission was refused as not run.
+// TestLateClaimIsReleased guards against a key that stays claimed although its submission
+// was refused as not run, because the claim write took effect after the deadline.
 func TestLateClaimIsReleased(t *testing.T) {
 	is := is.New(t)
 	c := &Claim{ID: "a", Fingerprint: Fingerprint("POST", []byte("/order"), nil), StoreMillis: 100}
@@ -22,5 +22,5 @@
 	is.Equal(string(release[0].Value), `{"ClaimID":"a","Fingerprint":"`+c.Fingerprint.String()+`","State":"Released"}`)
 	is.Equal(int(release[0].Condition), 5)
 	is.Equal(len(c.RowWritten(160, Written, 6)), 0)
-	is.True(c.Settled())
+	is.True(c.Done())
 }
--- a/core/once/explore_test.go
+++ b/core/once/explore_test.go
@@ -17,22 +17,24 @@
 	"hickoryrail/core/retry"
 )
 
-// mostSteps bounds a path.
-const mostSteps = 40
+// maxSteps bounds the number of steps of one path.
+const maxSteps = 40
 
-// deep explores up to 3 attempts, 2 losses and 2 restarts of gates instead of 2, 1
-// and 1, which takes minutes.
+// deep raises the bounds from 2 attempts, 1 loss and 1 restart of a gate to 3, 2 and 2;
+// the exploration then takes minutes.
 var deep = flag.Bool("explore.deep", false, "explore more losses, restarts and attempts")
 
 type (
-	// packet is a message between the ingress and a gate. Its copies arrive at the
-	// life of the gate to which the connection leads, or never.
+	// packet is a message between the ingress and a gate. Its copies arrive only at the
+	// incarnation of the gate to which the connection was opened.
 	packet struct {
 		kind packetKind
 		gate int
-		// life is that of the gate at the end of the connection; 0 before it is open.
-		life ident.Incarnation
-		// addressed is the life that the ingress means.
+		// incarnation is that of the gate to which the connection was opened; 0 before
+		// it is open.
+		incarnation ident.Incarnation
+		// addressed is the incarnation of the gate to which the ingress addresses the
+		// message.
 		addressed ident.Incarnation
 		attempt   int
 		verdict   result.Verdict
@@ -40,36 +42,37 @@
 
 	packetKind int
 
-	// bounds limits the exploration: attempts, messages that are lost or doubled, and
+	// bounds limits the attempts, the messages that are lost or duplicated, and the
 	// restarts of gates.
 	bounds struct {
-		attempts, lost, doubled, restarts int
+		attempts, lost, duplicated, restarts int
 	}
 
-	// scenario is an ingress with one request that must not be repeated, and two gates
-	// with a target each, in one state.
+	// scenario is the state of an ingress with one request that must run at most once,
+	// and of two gates with a target each.
 	scenario struct {
 		bounds bounds
-		// unsafeVoid breaks a rule on purpose: a void for an earlier life of the gate
-		// is taken to mean that the request has not run.
+		// unsafeVoid breaks a rule deliberately: the response to a void for an earlier
+		// incarnation of the gate is treated as NotRun.
 		unsafeVoid bool
 
-		gates   [2]*Fence
+		gates   [2]*Dedup
 		packets []packet
-		// running are the attempts that a target works on, with the life of the gate.
+		// running holds the requests that a target executes; their incarnation is that
+		// of the gate that started them.
 		running []packet
 		ran     int
 		attempt retry.Attempt
 		policy  *retry.Policy
-		// gate and addressed are those of the present attempt.
+		// gate and addressed are those of the current attempt.
 		gate      int
 		addressed ident.Incarnation
-		// waiting says that the present attempt has no verdict, and voided that it has
-		// been voided.
-		waiting, voided         bool
-		answered                bool
-		verdict                 result.Verdict
-		lost, doubled, restarts int
+		// waiting is set while the current attempt has no verdict, and voided once a
+		// void was sent for it.
+		waiting, voided            bool
+		answered                   bool
+		verdict                    result.Verdict
+		lost, duplicated, restarts int
 	}
 )
 
@@ -79,142 +82,144 @@
 	replyPacket
 )
 
-// newScenario returns the scenario with the first attempt on its way.
+// newScenario returns a scenario in which the first attempt has been sent.
 func newScenario(unsafeVoid bool) *scenario {
-	m := &scenario{unsafeVoid: unsafeVoid, bounds: bounds{attempts: 2, lost: 1, doubled: 1, restarts: 1}}
+	s := &scenario{unsafeVoid: unsafeVoid, bounds: bounds{attempts: 2, lost: 1, duplicated: 1, restarts: 1}}
 	if *deep {
-		m.bounds = bounds{attempts: 3, lost: 2, doubled: 1, restarts: 2}
+		s.bounds = bounds{attempts: 3, lost: 2, duplicated: 1, restarts: 2}
 	}
-	for i := range m.gates {
-		m.gates[i] = &Fence{Gate: ident.Incarnation(10*i + 10)}
+	for i := range s.gates {
+		s.gates[i] = &Dedup{Gate: ident.Incarnation(10*i + 10)}
 	}
-	m.policy = &retry.Policy{Budget: &retry.Budget{PerSecond: 1e6}, Rand: rand.New(rand.NewPCG(1, 1))}
-	m.policy.Budget.Call(0)
-	m.attempt = retry.Attempt{Route: model.Route{MaxAttempts: m.bounds.attempts}, Deadline: 5000}
-	m.send()
-	return m
+	s.policy = &retry.Policy{Budget: &retry.Budget{PerSecond: 1e6}, Rand: rand.New(rand.NewPCG(1, 1))}
+	s.policy.Budget.Call(0)
+	s.attempt = retry.Attempt{Route: model.Route{MaxAttempts: s.bounds.attempts}, Deadline: 5000}
+	s.send()
+	return s
 }
 
-// send sends the next attempt, to the gates in turn.
-func (m *scenario) send() {
-	m.gate = m.attempt.Sent % len(m.gates)
-	m.addressed = m.gates[m.gate].Gate
-	m.attempt.Start(0)
-	m.waiting, m.voided = true, false
-	m.packets = append(m.packets, packet{kind: requestPacket, gate: m.gate, addressed: m.addressed, attempt: m.attempt.Sent})
+// send sends the next attempt, alternating between the gates.
+func (s *scenario) send() {
+	s.gate = s.attempt.Sent % len(s.gates)
+	s.addressed = s.gates[s.gate].Gate
+	s.attempt.Start(0)
+	s.waiting, s.voided = true, false
+	s.packets = append(s.packets, packet{kind: requestPacket, gate: s.gate, addressed: s.addressed, attempt: s.attempt.Sent})
 }
 
 // id returns the request id of an attempt.
 func id(attempt int) ident.RequestID { return ident.RequestID(fmt.Sprint("r.", attempt)) }
 
-// steps returns everything that can happen next.
-func (m *scenario) steps() []func() {
+// steps returns all possible next events.
+func (s *scenario) steps() []func() {
 	var out []func()
-	for i := range m.packets {
-		p := m.packets[i]
-		if p.life == 0 && p.kind != replyPacket {
-			out = append(out, func() { m.packets[i].life = m.gates[p.gate].Gate })
+	for i := range s.packets {
+		p := s.packets[i]
+		if p.incarnation == 0 && p.kind != replyPacket {
+			out = append(out, func() { s.packets[i].incarnation = s.gates[p.gate].Gate })
 			continue
 		}
-		out = append(out, func() { m.remove(i); m.deliver(p) })
-		if m.lost < m.bounds.lost {
-			out = append(out, func() { m.lost++; m.remove(i) })
+		out = append(out, func() { s.remove(i); s.deliver(p) })
+		if s.lost < s.bounds.lost {
+			out = append(out, func() { s.lost++; s.remove(i) })
 		}
-		if m.doubled < m.bounds.doubled {
-			out = append(out, func() { m.doubled++; m.packets = append(m.packets, p) })
+		if s.duplicated < s.bounds.duplicated {
+			out = append(out, func() { s.duplicated++; s.packets = append(s.packets, p) })
 		}
 	}
-	for i := range m.running {
-		p := m.running[i]
-		out = append(out, func() { m.running = slices.Delete(m.running, i, i+1); m.finish(p) })
+	for i := range s.running {
+		p := s.running[i]
+		out = append(out, func() { s.running = slices.Delete(s.running, i, i+1); s.finish(p) })
 	}
-	if m.restarts < m.bounds.restarts {
-		for i := range m.gates {
-			out = append(out, func() { m.restarts++; m.gates[i] = &Fence{Gate: m.gates[i].Gate + 1} })
+	if s.restarts < s.bounds.restarts {
+		for i := range s.gates {
+			out = append(out, func() { s.restarts++; s.gates[i] = &Dedup{Gate: s.gates[i].Gate + 1} })
 		}
 	}
-	if m.waiting {
-		out = append(out, m.timeout)
+	if s.waiting {
+		out = append(out, s.timeout)
 	}
 	return out
 }
 
-// remove takes a packet off the network.
-func (m *scenario) remove(i int) { m.packets = slices.Delete(m.packets, i, i+1) }
+// remove removes a packet from the network.
+func (s *scenario) remove(i int) { s.packets = slices.Delete(s.packets, i, i+1) }
 
-// deliver brings a packet to its end.
-func (m *scenario) deliver(p packet) {
+// deliver handles the arrival of a packet at the ingress or at a gate.
+func (s *scenario) deliver(p packet) {
 	if p.kind == replyPacket {
-		m.ended(p.attempt, p.verdict)
+		s.endAttempt(p.attempt, p.verdict)
 		return
 	}
-	f := m.gates[p.gate]
-	if f.Gate != p.life {
-		return // the connection has ended with that life
+	d := s.gates[p.gate]
+	if d.Gate != p.incarnation {
+		return // the connection was closed when that incarnation ended
 	}
-	var a Answer
+	var decision Decision
 	if p.kind == voidPacket {
-		a = f.Void(0, p.addressed, id(p.attempt))
-		if m.unsafeVoid && a.Reason == ReasonGate {
-			a.Verdict = result.NotRun
+		decision = d.Void(0, p.addressed, id(p.attempt))
+		if s.unsafeVoid && decision.Reason == ReasonIncarnation {
+			decision.Verdict = result.NotRun
 		}
 	} else {
-		a = f.Arrive(0, p.addressed, id(p.attempt))
+		decision = d.Begin(0, p.addressed, id(p.attempt))
 	}
-	if a.Kind == Run {
-		m.ran++
-		m.running = append(m.running, p)
+	if decision.Kind == Run {
+		s.ran++
+		s.running = append(s.running, p)
 		return
 	}
-	m.packets = append(m.packets, packet{kind: replyPacket, attempt: p.attempt, verdict: a.Verdict})
+	s.packets = append(s.packets, packet{kind: replyPacket, attempt: p.attempt, verdict: decision.Verdict})
 }
 
-// finish ends a run; its answer is lost if the gate has been restarted.
-func (m *scenario) finish(p packet) {
-	if f := m.gates[p.gate]; f.Gate == p.life {
-		f.Finish(0, id(p.attempt), result.Ran, []byte("answer"))
-		m.packets = append(m.packets, packet{kind: replyPacket, attempt: p.attempt, verdict: result.Ran})
+// finish ends an execution; its response is lost if the gate has restarted.
+func (s *scenario) finish(p packet) {
+	if d := s.gates[p.gate]; d.Gate == p.incarnation {
+		d.Finish(0, id(p.attempt), result.Ran, []byte("answer"))
+		s.packets = append(s.packets, packet{kind: replyPacket, attempt: p.attempt, verdict: result.Ran})
 	}
 }
 
-// timeout gives up waiting: first the attempt is voided, then it may have run.
-func (m *scenario) timeout() {
-	n := m.attempt.Sent
-	if m.voided {
-		m.ended(n, result.MayHaveRun)
+// timeout handles a timeout of the ingress: the first one sends a void for the attempt,
+// the second one ends it as MayHaveRun.
+func (s *scenario) timeout() {
+	n := s.attempt.Sent
+	if s.voided {
+		s.endAttempt(n, result.MayHaveRun)
 		return
 	}
-	m.voided = true
-	m.packets = append(m.packets, packet{kind: voidPacket, gate: m.gate, addressed: m.addressed, attempt: n})
+	s.voided = true
+	s.packets = append(s.packets, packet{kind: voidPacket, gate: s.gate, addressed: s.addressed, attempt: n})
 }
 
-// ended takes the verdict of the present attempt.
-func (m *scenario) ended(attempt int, v result.Verdict) {
-	if !m.waiting || attempt != m.attempt.Sent {
+// endAttempt handles the verdict of the current attempt; verdicts of other attempts are
+// ignored.
+func (s *scenario) endAttempt(attempt int, v result.Verdict) {
+	if !s.waiting || attempt != s.attempt.Sent {
 		return
 	}
-	m.waiting = false
-	m.attempt.End(v)
-	d := m.policy.Decide(0, m.attempt, v)
+	s.waiting = false
+	s.attempt.End(v)
+	d := s.policy.Decide(0, s.attempt, v)
 	if d.Kind == retry.Retry {
-		m.send()
+		s.send()
 		return
 	}
-	m.answered, m.verdict = true, d.Verdict
+	s.answered, s.verdict = true, d.Verdict
 }
 
-// state describes everything that later steps and checks depend on.
-func (m *scenario) state() string {
+// state returns a text of everything on which later steps and checks depend.
+func (s *scenario) state() string {
 	var b strings.Builder
-	for _, f := range m.gates {
-		fmt.Fprint(&b, f.Gate, ":")
-		for n := 1; n <= m.attempt.Sent; n++ {
-			if r := f.records[id(n)]; r != nil {
+	for _, d := range s.gates {
+		fmt.Fprint(&b, d.Gate, ":")
+		for n := 1; n <= s.attempt.Sent; n++ {
+			if r := d.records[id(n)]; r != nil {
 				fmt.Fprint(&b, n, r.phase, r.verdict, " ")
 			}
 		}
 	}
-	for _, list := range [][]packet{m.packets, m.running} {
+	for _, list := range [][]packet{s.packets, s.running} {
 		texts := make([]string, len(list))
 		for i, p := range list {
 			texts[i] = fmt.Sprint(p)
@@ -222,55 +227,56 @@
 		slices.Sort(texts)
 		fmt.Fprint(&b, texts)
 	}
-	fmt.Fprint(&b, m.ran, m.attempt.Sent, m.attempt.Uncertain, m.addressed, m.waiting, m.voided, m.answered, m.verdict,
-		m.lost, m.doubled, m.restarts)
+	fmt.Fprint(&b, s.ran, s.attempt.Sent, s.attempt.Uncertain, s.addressed, s.waiting, s.voided, s.answered, s.verdict,
+		s.lost, s.duplicated, s.restarts)
 	return b.String()
 }
 
-// broken returns the rule that does not hold, or "".
-func (m *scenario) broken() string {
+// violation describes the violated rule, or returns "".
+func (s *scenario) violation() string {
 	switch {
-	case m.ran > 1:
+	case s.ran > 1:
 		return "request ran twice"
-	case m.answered && m.verdict == result.NotRun && m.ran > 0:
+	case s.answered && s.verdict == result.NotRun && s.ran > 0:
 		return "request was refused as not run, and ran"
 	}
 	return ""
 }
 
-// explore plays all orders and returns the first broken rule.
-func explore(unsafeVoid bool) (broken string, states int) {
+// explore runs all orders of events. It returns the first violation and the number of
+// states.
+func explore(unsafeVoid bool) (violation string, states int) {
 	_, states = paths.Explore(func(c *paths.Chooser) bool {
-		m := newScenario(unsafeVoid)
-		for range mostSteps {
-			steps := m.steps()
+		s := newScenario(unsafeVoid)
+		for range maxSteps {
+			steps := s.steps()
 			if len(steps) == 0 {
 				return true
 			}
 			steps[c.Choose(len(steps))]()
-			if broken = m.broken(); broken != "" {
+			if violation = s.violation(); violation != "" {
 				return false
 			}
-			if c.Seen(m.state) {
+			if c.Seen(s.state) {
 				return true
 			}
 		}
-		broken = "path is longer than the bound"
+		violation = "path is longer than the bound"
 		return false
 	})
-	return broken, states
+	return violation, states
 }
 
-// TestEveryOrder guards against an order of losses, delays, duplicates, time-outs,
-// voids and restarts of gates in which a request that must not be repeated runs twice,
-// or runs although its caller was told that it has not.
+// TestEveryOrder guards against an order of losses, delays, duplicates, timeouts, voids
+// and restarts of gates in which a request runs twice, or runs although its caller
+// received NotRun.
 func TestEveryOrder(t *testing.T) {
 	is := is.New(t)
-	broken, states := explore(false)
-	is.Equal(broken, "")
-	is.True(states > 1000) // the exploration has not ended early
+	violation, states := explore(false)
+	is.Equal(violation, "")
+	is.True(states > 1000) // the exploration did not end early
 	t.Logf("%d states", states)
 
-	broken, _ = explore(true)
-	is.Equal(broken, "request ran twice")
+	violation, _ = explore(true)
+	is.Equal(violation, "request ran twice")
 }
--- a/core/once/filter.go
+++ b/core/once/filter.go
@@ -8,66 +8,68 @@
 )
 
 const (
-	// filterBits is the size of one generation. 60,000 ids in 60 s give about 2
-	// false hits in 1000.
+	// filterBits is the size of one generation. With 60,000 ids in 60 s, about 2 in
+	// 1000 lookups are false positives.
 	filterBits = 1 << 20
-	// filterProbes is the number of bits set for each id.
+	// filterProbes is the number of bits that are set for each id.
 	filterProbes = 4
-	// wordBits is the number of bits in a word.
+	// wordBits is the number of bits in one element of a generation.
 	wordBits = 64
 )
 
-// filter is a Bloom filter of refused ids in two generations. It remembers an id
-// for one to two lifetimes in constant memory; a false hit refuses a new request
-// as not run, which is safe.
+// filter is a Bloom filter of refused ids in two generations. It remembers an id for
+// one to two retention periods in constant memory. A false positive refuses a new
+// request as not run, which is safe.
 type filter struct {
-	// current takes new ids, previous is only read; nil until the first id.
+	// current receives new ids, previous is read only. Either is nil while it holds
+	// no ids.
 	current, previous []uint64
-	// turnAt is the instant at which current becomes previous.
-	turnAt clock.Millis
+	// rotateAt is the instant at which current becomes previous.
+	rotateAt clock.Millis
 }
 
-// add remembers an id for at least keep.
+// add inserts an id, which is remembered for at least keep.
 func (f *filter) add(now, keep clock.Millis, id ident.RequestID) {
-	f.turn(now, keep)
+	f.rotate(now, keep)
 	if f.current == nil {
 		f.current = make([]uint64, filterBits/wordBits)
-		f.turnAt = now + keep
+		f.rotateAt = now + keep
 	}
 	h := xxhash.Sum64String(string(id))
 	for i := range uint64(filterProbes) {
-		bit := probe(h, i)
+		bit := bitIndex(h, i)
 		f.current[bit/wordBits] |= 1 << (bit % wordBits)
 	}
 }
 
-// has reports whether an id may have been added.
-func (f *filter) has(now, keep clock.Millis, id ident.RequestID) bool {
-	f.turn(now, keep)
+// mayContain reports whether an id may have been added; false positives are possible.
+func (f *filter) mayContain(now, keep clock.Millis, id ident.RequestID) bool {
+	f.rotate(now, keep)
 	if f.current == nil && f.previous == nil {
 		return false
 	}
 	h := xxhash.Sum64String(string(id))
-	return holds(f.current, h) || holds(f.previous, h)
+	return allBitsSet(f.current, h) || allBitsSet(f.previous, h)
 }
 
-// turn drops the generations whose time is over.
-func (f *filter) turn(now, keep clock.Millis) {
-	if f.current != nil && now >= f.turnAt {
+// rotate makes current the previous generation once it is keep old, and drops a
+// previous generation that has expired.
+func (f *filter) rotate(now, keep clock.Millis) {
+	if f.current != nil && now >= f.rotateAt {
 		f.previous, f.current = f.current, nil
 	}
-	if f.current == nil && f.previous != nil && now >= f.turnAt+keep {
+	if f.current == nil && f.previous != nil && now >= f.rotateAt+keep {
 		f.previous = nil
 	}
 }
 
-// holds reports whether all bits of a hash are set.
-func holds(words []uint64, h uint64) bool {
+// allBitsSet reports whether all bits of a hash are set in words.
+func allBitsSet(words []uint64, h uint64) bool {
 	if words == nil {
 		return false
 	}
 	for i := range uint64(filterProbes) {
-		bit := probe(h, i)
+		bit := bitIndex(h, i)
 		if words[bit/wordBits]&(1<<(bit%wordBits)) == 0 {
 			return false
 		}
@@ -75,7 +77,7 @@
 	return true
 }
 
-// probe returns the number of the i-th bit of a hash, by double hashing.
-func probe(h, i uint64) uint64 {
+// bitIndex returns the index of the i-th bit of a hash, by double hashing.
+func bitIndex(h, i uint64) uint64 {
 	return (h + i*(h>>32|1)) % filterBits
 }
--- a/core/once/queue.go
+++ b/core/once/queue.go
@@ -1,18 +1,16 @@
 package once
 
-// queue is a first-in first-out list in one slice.
+// queue is a first-in first-out queue on one slice.
 type queue[T any] struct {
 	items []T
 	// head is the index of the first item.
 	head int
 }
 
-// push appends an item.
 func (q *queue[T]) push(v T) {
 	q.items = append(q.items, v)
 }
 
-// empty reports whether there is no item.
 func (q *queue[T]) empty() bool {
 	return q.head == len(q.items)
 }
@@ -22,8 +20,8 @@
 	return q.items[q.head]
 }
 
-// pop removes the oldest item of a queue that is not empty. Once half of the
-// slice is unused, the rest moves to a new one.
+// pop removes and returns the oldest item of a queue that is not empty. Once half of
+// the slice is unused, the remaining items are copied to a new one to release memory.
 func (q *queue[T]) pop() T {
 	var zero T
 	v := q.items[q.head]
--- a/core/once/row.go
+++ b/core/once/row.go
@@ -13,9 +13,10 @@
 )
 
 const (
-	// Claimed means that a submission may be running or may have run.
+	// Claimed means that a submission holds the key; its request may be running or
+	// may have run.
 	Claimed State = "Claimed"
-	// Released means that the submission ended as not run.
+	// Released means that the submission ended without running the request.
 	Released State = "Released"
 	// Stored means that the row holds the outcome.
 	Stored State = "Stored"
@@ -24,9 +25,9 @@
 const (
 	// maxRowBytes bounds an encoded row.
 	maxRowBytes = 1 << 20
-	// headerFields is the number of strings in one header: name and value.
-	headerFields = 2
-	// minStatus and maxStatus bound an HTTP status.
+	// headerStrings is the number of strings that encode one header: name and value.
+	headerStrings = 2
+	// minStatus and maxStatus bound the valid HTTP status codes.
 	minStatus, maxStatus = 100, 599
 )
 
@@ -37,9 +38,9 @@
 	// Outcome is the target's response to a keyed request.
 	Outcome struct {
 		Status int
-		// Headers are pairs of name and value.
+		// Headers holds pairs of name and value.
 		Headers [][]string `json:",omitempty"`
-		// Body is the whole body, unless Object names the object that holds it.
+		// Body is the whole body, unless Object names the stored object that contains it.
 		Body   []byte `json:",omitempty"`
 		Object string `json:",omitempty"`
 	}
@@ -48,35 +49,35 @@
 	KeyRow struct {
 		// ClaimID names the submission that wrote the row; not empty.
 		ClaimID ident.RequestID
-		// Fingerprint is that of the request for which the key was first claimed;
-		// not zero. It never changes, because a row is written over only by a
-		// submission of the same request.
+		// Fingerprint is the fingerprint of the request for which the key was first
+		// claimed; not zero. It never changes, because only a submission of the same
+		// request overwrites the row.
 		Fingerprint ident.Digest
 		State       State
-		// Outcome is set if State is Stored, and only then; its fields stand beside
-		// the others in the row.
+		// Outcome is set if and only if State is Stored. It is embedded, so its fields
+		// are at the top level of the encoded row.
 		*Outcome
 	}
 )
 
 var (
-	// errRow reports a row value that this version does not understand.
-	errRow = errors.New("key row is malformed")
-	// rowFields are the names of a row's fields.
+	// errMalformedRow reports a row value that this version cannot decode.
+	errMalformedRow = errors.New("key row is malformed")
+	// rowFields are the names of the fields of an encoded row.
 	rowFields = []string{"ClaimID", "Fingerprint", "State", "Status", "Headers", "Body", "Object"}
 )
 
-// RowKey returns the key of the row for a caller's idempotency key. The length of
-// the caller's name goes into the hash, so no two pairs share their text.
+// RowKey returns the key of the row for a caller's idempotency key. The hash includes
+// the length of the caller id, so no two pairs of caller and key hash the same text.
 func RowKey(service ident.ServiceName, caller ident.CallerID, key string) string {
 	sum := ident.Sum(fmt.Appendf(nil, "%d/%s/%s", len(caller), caller, key))
 	return "Key/" + string(service) + "/" + sum.String()
 }
 
-// Fingerprint returns the SHA-256 of a request as it is forwarded. The lengths of
-// method and URI go into the hash, so no two requests share their text. Headers
-// are left out, because a resubmission differs in some of them, such as the
-// remaining time or a trace id.
+// Fingerprint returns the SHA-256 of a request as it is forwarded. The hash includes
+// the lengths of method and URI, so no two requests hash the same text. Headers are
+// excluded, because a resubmission differs in some of them, such as the remaining
+// time or a trace id.
 func Fingerprint(method string, uri, body []byte) ident.Digest {
 	text := fmt.Appendf(nil, "%d/%d/%s%s", len(method), len(uri), method, uri)
 	return ident.Sum(append(text, body...))
@@ -89,7 +90,7 @@
 	}
 	value, err := json.Marshal(r)
 	if err == nil && len(value) > maxRowBytes {
-		err = fmt.Errorf("%w: %d bytes", errRow, len(value))
+		err = fmt.Errorf("%w: %d bytes exceed the limit of %d", errMalformedRow, len(value), maxRowBytes)
 	}
 	return value, err
 }
@@ -98,16 +99,16 @@
 // repeated fields, trailing text, oversized values and inconsistent content.
 func DecodeKeyRow(value []byte) (KeyRow, error) {
 	if len(value) > maxRowBytes {
-		return KeyRow{}, fmt.Errorf("%w: %d bytes", errRow, len(value))
+		return KeyRow{}, fmt.Errorf("%w: %d bytes exceed the limit of %d", errMalformedRow, len(value), maxRowBytes)
 	}
-	if err := exact(value); err != nil {
-		return KeyRow{}, fmt.Errorf("%w: %w", errRow, err)
+	if err := checkFields(value); err != nil {
+		return KeyRow{}, fmt.Errorf("%w: %w", errMalformedRow, err)
 	}
 	var r KeyRow
 	d := json.NewDecoder(bytes.NewReader(value))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&r); err != nil {
-		return KeyRow{}, fmt.Errorf("%w: %w", errRow, err)
+		return KeyRow{}, fmt.Errorf("%w: %w", errMalformedRow, err)
 	}
 	if err := r.check(); err != nil {
 		return KeyRow{}, err
@@ -115,17 +116,17 @@
 	return r, nil
 }
 
-// check returns an error unless the fields fit together.
+// check returns an error unless the fields are valid and consistent.
 func (r KeyRow) check() error {
 	switch {
 	case r.ClaimID == "":
-		return fmt.Errorf("%w: no ClaimID", errRow)
+		return fmt.Errorf("%w: ClaimID is empty", errMalformedRow)
 	case r.Fingerprint.IsZero():
-		return fmt.Errorf("%w: no Fingerprint", errRow)
+		return fmt.Errorf("%w: Fingerprint is zero", errMalformedRow)
 	case r.State != Claimed && r.State != Released && r.State != Stored:
-		return fmt.Errorf("%w: state %q", errRow, r.State)
+		return fmt.Errorf("%w: unknown state %q", errMalformedRow, r.State)
 	case (r.State == Stored) != (r.Outcome != nil):
-		return fmt.Errorf("%w: state %s does not fit the outcome", errRow, r.State)
+		return fmt.Errorf("%w: state %s is inconsistent with the presence of an outcome", errMalformedRow, r.State)
 	case r.Outcome == nil:
 		return nil
 	}
@@ -135,26 +136,26 @@
 // check returns an error unless the outcome can be replayed.
 func (o *Outcome) check() error {
 	if o.Status < minStatus || o.Status > maxStatus {
-		return fmt.Errorf("%w: status %d", errRow, o.Status)
+		return fmt.Errorf("%w: status %d is not an HTTP status", errMalformedRow, o.Status)
 	}
 	if len(o.Body) > 0 && o.Object != "" {
-		return fmt.Errorf("%w: both Body and Object", errRow)
+		return fmt.Errorf("%w: both Body and Object are set", errMalformedRow)
 	}
 	for _, h := range o.Headers {
-		if len(h) != headerFields {
-			return fmt.Errorf("%w: header of %d strings", errRow, len(h))
+		if len(h) != headerStrings {
+			return fmt.Errorf("%w: header has %d strings instead of name and value", errMalformedRow, len(h))
 		}
 	}
 	return nil
 }
 
-// exact returns an error unless value is one JSON object whose field names are
-// spelt exactly and not repeated; encoding/json alone ignores case and takes the
-// last of repeated fields.
-func exact(value []byte) error {
+// checkFields returns an error unless value is one JSON object whose field names match
+// exactly and are not repeated. encoding/json alone ignores case and uses the last of
+// repeated fields.
+func checkFields(value []byte) error {
 	d := json.NewDecoder(bytes.NewReader(value))
 	if t, err := d.Token(); err != nil || t != json.Delim('{') {
-		return errors.New("not an object")
+		return errors.New("value is not a JSON object")
 	}
 	seen := sets.Of[string]()
 	for d.More() {
@@ -175,7 +176,7 @@
 		return err
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return errors.New("text after the object")
+		return errors.New("value has trailing bytes")
 	}
 	return nil
 }
--- a/core/once/row_test.go
+++ b/core/once/row_test.go
@@ -11,12 +11,12 @@
 	"hickoryrail/core/ident"
 )
 
-// TestRowRefusesInexactJSON guards against rows that another writer could read
-// differently.
+// TestRowRefusesInexactJSON guards against the acceptance of rows that another JSON
+// decoder could read differently.
 func TestRowRefusesInexactJSON(t *testing.T) {
 	is := is.New(t)
 	_, err := DecodeKeyRow(rowText(`{"ClaimID":"a","Fingerprint":F,"State":"Claimed"}`))
-	is.NoErr(err) // the others differ from it by their fault
+	is.NoErr(err) // a valid row; each text below has a fault
 	for _, text := range []string{
 		`{"ClaimID":"a","State":"Claimed"}`, `{"ClaimID":"a","Fingerprint":null,"State":"Claimed"}`,
 		`{"ClaimID":"a","Fingerprint":"","State":"Claimed"}`, `{"ClaimID":"a","Fingerprint":"12ab","State":"Claimed"}`,
@@ -33,13 +33,13 @@
 	}
 }
 
-// rowText returns a row whose F stands for a fingerprint.
+// rowText replaces F in the text of a row by a valid fingerprint.
 func rowText(text string) []byte {
 	f := Fingerprint("POST", []byte("/order"), []byte("pallet"))
 	return []byte(strings.ReplaceAll(text, ":F", `:"`+f.String()+`"`))
 }
 
-// TestFingerprint guards against two requests that count as the same one.
+// TestFingerprint guards against different requests with the same fingerprint.
 func TestFingerprint(t *testing.T) {
 	request := rapid.Custom(func(t *rapid.T) [3]string {
 		var r [3]string
@@ -57,15 +57,15 @@
 	})
 }
 
-// TestRowKey guards against two callers who share a row.
+// TestRowKey guards against different callers or services that share a row.
 func TestRowKey(t *testing.T) {
 	is := is.New(t)
 	is.True(RowKey("orders", "a", "b/c") != RowKey("orders", "a/b", "c"))
 	is.True(RowKey("orders", "a", "b") != RowKey("invoices", "a", "b"))
 }
 
-// FuzzDecodeKeyRow guards against a panic, and against a row that changes when it
-// is written back.
+// FuzzDecodeKeyRow guards against a panic, and against a row that changes when it is
+// decoded and encoded.
 func FuzzDecodeKeyRow(f *testing.F) {
 	f.Add(rowText(`{"ClaimID":"a","Fingerprint":F,"State":"Claimed"}`))
 	f.Add(rowText(`{"ClaimID":"a","Fingerprint":F,"State":"Stored","Status":201,"Headers":[["A","b"]],"Body":"eA=="}`))
@@ -86,7 +86,7 @@
 	})
 }
 
-// normal drops the difference between empty and absent lists.
+// normal replaces empty lists by nil, because the encoding does not distinguish them.
 func normal(r KeyRow) KeyRow {
 	if r.Outcome == nil {
 		return r
--- a/core/once/submission_test.go
+++ b/core/once/submission_test.go
@@ -8,17 +8,17 @@
 	"hickoryrail/core/retry"
 )
 
-// tick drives the claim until it is settled.
+// tick calls the claim's Tick periodically until the claim is done.
 func (s *submission) tick() {
-	if s.crashed || s.claim.Settled() {
+	if s.crashed || s.claim.Done() {
 		return
 	}
-	s.act(s.claim.Tick(s.w.now))
-	s.w.after(50, func() { s.tick() })
+	s.perform(s.claim.Tick(s.sim.now))
+	s.sim.after(50, func() { s.tick() })
 }
 
-// act carries out a claim's actions.
-func (s *submission) act(actions []Action) {
+// perform performs the actions of the claim.
+func (s *submission) perform(actions []Action) {
 	for _, a := range actions {
 		switch a.Kind {
 		case ReadRow:
@@ -31,7 +31,7 @@
 			s.answer(result.Ran)
 			s.replayed = true
 			if string(a.Outcome.Body) != s.request {
-				s.w.t.Fatalf("%s got the outcome of request %s", s.name, a.Outcome.Body)
+				s.sim.t.Fatalf("%s got the outcome of request %s", s.name, a.Outcome.Body)
 			}
 		case RefuseRequest:
 			s.answer(a.Verdict)
@@ -39,49 +39,49 @@
 	}
 }
 
-// answer notes the verdict that the caller gets.
+// answer records the verdict that the caller receives.
 func (s *submission) answer(v result.Verdict) {
 	if s.answered {
-		s.w.t.Fatalf("%s was answered twice", s.name)
+		s.sim.t.Fatalf("%s was answered twice", s.name)
 	}
 	s.answered, s.verdict = true, v
 }
 
-// reply returns an answer to the ingress, unless it has crashed.
-func (s *submission) reply(step func()) {
-	s.w.after(s.w.delay(), func() {
+// returnToIngress delivers a response of the store, unless the ingress has crashed.
+func (s *submission) returnToIngress(step func()) {
+	s.sim.after(s.sim.drawDelay(), func() {
 		if !s.crashed {
 			step()
 		}
 	})
 }
 
-// readRow reads the row at the store, or fails.
+// readRow reads the row at the store; a fault makes the read fail.
 func (s *submission) readRow() {
-	s.w.after(s.w.delay(), func() {
-		value, revision := s.w.values[s.key], s.w.written[s.key]
-		ok := s.w.fault(1, "read") == 0
-		s.reply(func() { s.act(s.claim.RowRead(s.w.now, value, revision, ok)) })
+	s.sim.after(s.sim.drawDelay(), func() {
+		value, revision := s.sim.values[s.key], s.sim.revisions[s.key]
+		ok := s.sim.drawFault(1, "read") == 0
+		s.returnToIngress(func() { s.perform(s.claim.RowRead(s.sim.now, value, revision, ok)) })
 	})
 }
 
-// writeRow writes the row; faults are: surely no effect, lost before the effect,
-// answer lost, answer lost and effect late.
+// writeRow writes the row at the store. The faults are: a known failure, a lost request,
+// a lost response, and a lost response with a delayed effect.
 func (s *submission) writeRow(a Action) {
-	w := s.w
+	sim := s.sim
 	apply := func() (WriteResult, ident.Revision) {
-		if w.written[s.key] != a.Condition {
+		if sim.revisions[s.key] != a.Condition {
 			return Conflict, 0
 		}
-		w.written[s.key]++
-		w.values[s.key] = a.Value
-		return Written, w.written[s.key]
+		sim.revisions[s.key]++
+		sim.values[s.key] = a.Value
+		return Written, sim.revisions[s.key]
 	}
 	answer := func(r WriteResult, v ident.Revision) {
-		s.reply(func() { s.act(s.claim.RowWritten(w.now, r, v)) })
+		s.returnToIngress(func() { s.perform(s.claim.RowWritten(sim.now, r, v)) })
 	}
-	w.after(w.delay(), func() {
-		switch w.fault(4, "write") {
+	sim.after(sim.drawDelay(), func() {
+		switch sim.drawFault(4, "write") {
 		case 0:
 			answer(apply())
 		case 1:
@@ -93,87 +93,88 @@
 			answer(Unknown, 0)
 		case 4:
 			answer(Unknown, 0)
-			w.after(w.delay()*20, func() { apply() })
+			sim.after(sim.drawDelay()*20, func() { apply() })
 		}
 	})
 }
 
-// forward sends an attempt to a gate, whose incarnation may be out of date.
+// forward sends an attempt to a gate; the addressed incarnation may be out of date.
 func (s *submission) forward() {
-	w := s.w
+	sim := s.sim
 	if s.attempt.Sent == 0 {
 		if s.forwards++; s.forwards > 1 {
-			w.t.Fatalf("%s was forwarded twice", s.name)
+			sim.t.Fatalf("%s was forwarded twice", s.name)
 		}
-		if other, ok := w.forwarded[s.key]; ok && s.key != "" && other != s.request {
-			w.t.Fatalf("requests %s and %s were forwarded for key %s", other, s.request, s.key)
+		if other, ok := sim.forwarded[s.key]; ok && s.key != "" && other != s.request {
+			sim.t.Fatalf("requests %s and %s were forwarded for key %s", other, s.request, s.key)
 		}
-		w.forwarded[s.key] = s.request
+		sim.forwarded[s.key] = s.request
 	}
-	s.attempt.Start(w.now)
+	s.attempt.Start(sim.now)
 	id := ident.RequestID(fmt.Sprintf("%s.%d", s.name, s.attempt.Sent))
 	s.current = id
-	i := s.attempt.Sent % len(w.gates)
-	gate := w.gates[i].Gate - ident.Incarnation(w.fault(1, "stale"))
-	w.sendTo(i, func() { s.arrive(i, gate, id) })
-	w.after(60, func() { s.void(i, gate, id) })
+	i := s.attempt.Sent % len(sim.gates)
+	gate := sim.gates[i].Gate - ident.Incarnation(sim.drawFault(1, "stale"))
+	sim.sendTo(i, func() { s.serveAtGate(i, gate, id) })
+	sim.after(60, func() { s.sendVoid(i, gate, id) })
 }
 
-// arrive is the gate's side of a request.
-func (s *submission) arrive(i int, gate ident.Incarnation, id ident.RequestID) {
-	w, fence := s.w, s.w.gates[i]
-	a := fence.Arrive(w.now, gate, id)
-	if a.Kind != Run {
-		w.send(func() { s.ended(id, a.Verdict) })
+// serveAtGate handles the arrival of a request at a gate.
+func (s *submission) serveAtGate(i int, gate ident.Incarnation, id ident.RequestID) {
+	sim, dedup := s.sim, s.sim.gates[i]
+	decision := dedup.Begin(sim.now, gate, id)
+	if decision.Kind != Run {
+		sim.send(func() { s.endAttempt(id, decision.Verdict) })
 		return
 	}
-	if w.fault(1, "full") == 1 {
-		fence.Finish(w.now, id, result.NotRun, nil)
-		w.send(func() { s.ended(id, result.NotRun) })
+	if sim.drawFault(1, "full") == 1 {
+		dedup.Finish(sim.now, id, result.NotRun, nil)
+		sim.send(func() { s.endAttempt(id, result.NotRun) })
 		return
 	}
-	w.ran[s.name]++
-	w.ranKey[s.key]++
-	w.after(w.delay(), func() {
+	sim.executions[s.name]++
+	sim.keyExecutions[s.key]++
+	sim.after(sim.drawDelay(), func() {
 		v := result.Ran
-		if w.fault(1, "target") == 1 {
+		if sim.drawFault(1, "target") == 1 {
 			v = result.MayHaveRun
 		}
-		fence.Finish(w.now, id, v, []byte("response"))
-		if w.gates[i] == fence {
-			w.send(func() { s.ended(id, v) })
+		dedup.Finish(sim.now, id, v, []byte("response"))
+		if sim.gates[i] == dedup {
+			sim.send(func() { s.endAttempt(id, v) })
 		}
 	})
 }
 
-// void asks the gate about an attempt without an answer; a lost void or answer
-// leaves it as may have run.
-func (s *submission) void(i int, gate ident.Incarnation, id ident.RequestID) {
+// sendVoid sends a void for an attempt without a response. If the void or its response is
+// lost, the attempt ends as MayHaveRun.
+func (s *submission) sendVoid(i int, gate ident.Incarnation, id ident.RequestID) {
 	if s.current != id || s.crashed {
 		return
 	}
-	s.w.sendTo(i, func() {
-		a := s.w.gates[i].Void(s.w.now, gate, id)
-		s.w.send(func() { s.ended(id, a.Verdict) })
+	s.sim.sendTo(i, func() {
+		decision := s.sim.gates[i].Void(s.sim.now, gate, id)
+		s.sim.send(func() { s.endAttempt(id, decision.Verdict) })
 	})
-	s.w.after(400, func() { s.ended(id, result.MayHaveRun) })
+	s.sim.after(400, func() { s.endAttempt(id, result.MayHaveRun) })
 }
 
-// ended takes the verdict of the current attempt; later ones are ignored.
-func (s *submission) ended(id ident.RequestID, v result.Verdict) {
-	w := s.w
+// endAttempt handles the verdict of the current attempt; verdicts of other attempts are
+// ignored.
+func (s *submission) endAttempt(id ident.RequestID, v result.Verdict) {
+	sim := s.sim
 	if s.current != id || s.crashed {
 		return
 	}
 	s.current = ""
 	s.attempt.End(v)
-	d := s.policy.Decide(w.now, s.attempt, v)
+	d := s.policy.Decide(sim.now, s.attempt, v)
 	if d.Kind == retry.Retry {
-		w.after(d.At-w.now, s.forward)
+		sim.after(d.At-sim.now, s.forward)
 		return
 	}
 	s.answer(d.Verdict)
 	if s.claim != nil {
-		s.act(s.claim.Finished(w.now, d.Verdict, Outcome{Status: 200, Body: []byte(s.request)}))
+		s.perform(s.claim.Finished(sim.now, d.Verdict, Outcome{Status: 200, Body: []byte(s.request)}))
 	}
 }
--- a/io/bench/once.go
+++ b/io/bench/once.go
@@ -70,7 +70,7 @@
 // at 370 calls/s, in a quarter of the given number of runs.
 func FenceCost(runs int) *Table {
 	t := NewTable(fmt.Sprintf("request records at %d calls/s", fenceRate), "operation", "ns or MiB", "allocations")
-	f := &once.Fence{Gate: 1}
+	f := &once.Dedup{Gate: 1}
 	ids := make([]ident.RequestID, runs/4)
 	for i := range ids {
 		ids[i] = ident.RequestID(fmt.Sprintf("node-%03d-%020d", i%790, i))
@@ -81,7 +81,7 @@
 	runtime.ReadMemStats(&before)
 	t.cost("arrive and finish", len(ids), func(i int) {
 		now += clock.Second / fenceRate
-		f.Arrive(now, 1, ids[i])
+		f.Begin(now, 1, ids[i])
 		f.Finish(now, ids[i], result.Ran, make([]byte, 200))
 	})
 	runtime.GC()
--- a/io/proxy/gatecall.go
+++ b/io/proxy/gatecall.go
@@ -23,7 +23,7 @@
 	case r.Target != g.target.id:
 		return nil, g.refuse(now, r, result.NotRun, reasonOtherTarget), nil
 	}
-	a := g.fence.Arrive(now, r.Gate, r.ID)
+	a := g.fence.Begin(now, r.Gate, r.ID)
 	switch a.Kind {
 	case once.Refuse:
 		return nil, g.refuse(now, r, a.Verdict, a.Reason), nil
--- a/io/proxy/gateway.go
+++ b/io/proxy/gateway.go
@@ -71,7 +71,7 @@
 		// Zero means the default.
 		MaxRecords int
 		// KeptBytes bounds the answers that are kept for callers who lost their
-		// connection; zero means the default of once.Fence.
+		// connection; zero means the default of once.Dedup.
 		KeptBytes ident.Bytes
 		Limits    Limits
 		// Dialect is what the target speaks.
@@ -102,7 +102,7 @@
 		// running holds the calls at the gate by their callers' own ids.
 		running map[ident.RequestID]*gateCall
 		// fence has a record of every call that got to the gate.
-		fence once.Fence
+		fence once.Dedup
 		// drained is closed when the drain in progress is complete; nil without
 		// one.
 		drained chan struct{}
@@ -153,7 +153,7 @@
 		QueueLength: g.QueueLength, AgeingMillis: g.AgeingMillis, ActionEvery: ActionEvery,
 		RunMillis: g.RunMillis, OccupiedMillis: g.OccupiedMillis,
 	}
-	g.fence = once.Fence{Gate: g.Incarnation, KeepMillis: g.KeepMillis, MaxRecords: g.MaxRecords, MaxBytes: g.KeptBytes}
+	g.fence = once.Dedup{Gate: g.Incarnation, KeepMillis: g.KeepMillis, MaxRecords: g.MaxRecords, MaxBytes: g.KeptBytes}
 	g.earlier = make(chan struct{}, 1)
 	g.calls = make(map[ident.RequestID]*gateCall)
 	g.running = make(map[ident.RequestID]*gateCall)
--- a/io/proxy/keyed.go
+++ b/io/proxy/keyed.go
@@ -50,7 +50,7 @@
 		decided = k.run(k.claim.Tick(in.Clock.Now()))
 	}
 	resp := k.answer(c, decided[0])
-	if !k.claim.Settled() || len(decided) > 1 {
+	if !k.claim.Done() || len(decided) > 1 {
 		in.group.Go(func() { k.settle(c, decided, resp) })
 	}
 	return resp
@@ -117,7 +117,7 @@
 		v, o := k.outcome(c, resp)
 		actions = k.claim.Finished(k.in.Clock.Now(), v, o)
 	}
-	for k.run(actions); !k.claim.Settled(); k.run(actions) {
+	for k.run(actions); !k.claim.Done(); k.run(actions) {
 		next := k.claim.Next()
 		if next == clock.Forever {
 			return
--- a/io/proxy/status.go
+++ b/io/proxy/status.go
@@ -26,7 +26,7 @@
 	admit.ReasonWait:      fasthttp.StatusTooManyRequests,
 	once.ReasonClaimed:    fasthttp.StatusConflict,
 	once.ReasonMalformed:  fasthttp.StatusConflict,
-	once.ReasonOther:      fasthttp.StatusUnprocessableEntity,
+	once.ReasonKeyReused:  fasthttp.StatusUnprocessableEntity,
 	reasonDeadline:        fasthttp.StatusGatewayTimeout,
 	retry.ReasonDeadline:  fasthttp.StatusGatewayTimeout,
 }
