--- a/core/order/edit.go
+++ b/core/order/edit.go
@@ -10,36 +10,37 @@
 )
 
 const (
-	// Scheduled means that the edit waits for its release time.
+	// Scheduled means that the edit has a release time that has not been reached.
 	Scheduled State = "Scheduled"
 	// Released means that the edit was accepted and has a version.
 	Released State = "Accepted"
-	// Refused means that the edit was refused and changed nothing.
+	// Refused means that the edit was refused and had no effect.
 	Refused State = "Refused"
 )
 
 const (
-	// editPrefix starts the keys of edit rows and the names of edit objects.
+	// editPrefix is the prefix of the keys of edit rows and of the names of edit
+	// objects.
 	editPrefix = "Edit/"
-	// historyPrefix starts the keys of history rows.
+	// historyPrefix is the prefix of the keys of history rows.
 	historyPrefix = "History/"
 	// maxIDBytes bounds an edit id.
 	maxIDBytes = 64
 )
 
 type (
-	// State is the state of an edit in its row.
+	// State is the state of an edit, as stored in its row.
 	State string
 
-	// Edit proposes a whole configuration.
+	// Edit is a proposal for a complete new configuration.
 	Edit struct {
-		// ID is chosen at random by the submitter. The same ID means the same
-		// edit: submitting it again returns the first outcome.
+		// ID is chosen at random by the submitter and makes the submission
+		// idempotent: submitting the same ID again returns the first outcome.
 		ID ident.EditID
 		// Base is the version on which the edit is based; 0 is the empty
 		// configuration.
 		Base ident.Version
-		// Operator names who submitted the edit.
+		// Operator identifies who submitted the edit.
 		Operator      string
 		Configuration model.Configuration
 	}
@@ -51,15 +52,15 @@
 		Version  ident.Version
 		Base     ident.Version
 		Operator string
-		// Clashes are the fields that a refused edit and a release since its
-		// base changed to different values.
+		// Clashes are the conflicting fields of a refused edit: those that the edit and
+		// a release since its base changed to different values.
 		Clashes []string
-		// Reason says in words why the edit was refused.
+		// Reason is the text that explains why the edit was refused.
 		Reason string
 	}
 
-	// History is the value of the row History/<Version>. A release that another
-	// submitter had to record has no Operator and AcceptedMillis 0.
+	// History is the value of the row History/<Version>. If another submitter
+	// recorded the row, Operator is empty and AcceptedMillis is 0.
 	History struct {
 		Version        ident.Version
 		Digest         ident.Digest
@@ -130,7 +131,8 @@
 	return r, nil
 }
 
-// HistoryOf returns the history row of a head.
+// HistoryOf returns the history row of the release that a head names, without Operator
+// and AcceptedMillis.
 func HistoryOf(h Head) History {
 	return History{Version: h.Version, Digest: h.Digest, EditID: h.EditID, Object: h.Object}
 }
--- a/core/order/head.go
+++ b/core/order/head.go
@@ -1,5 +1,5 @@
-// Package order decides the one order in which edits become releases. It does no
-// input or output; io/plat drives it against the platform's store.
+// Package order determines the total order in which edits become releases. It does no
+// I/O; io/plat runs it against the platform's store.
 package order
 
 import (
@@ -17,19 +17,20 @@
 const (
 	// HeadKey is the key of the row that names the newest release.
 	HeadKey = "Head"
-	// MaxRecent bounds Head.Recent. Older edits have Edit rows; the bound keeps
-	// the row, which every reader polls, at a few kilobytes.
+	// MaxRecent bounds Head.Recent. Older edits are found in their Edit rows. The bound
+	// keeps the Head row, which every reader polls, at a few kilobytes.
 	MaxRecent = 64
 )
 
 type (
-	// Accepted names an accepted edit and its version.
+	// Accepted is an accepted edit with its version.
 	Accepted struct {
 		EditID  ident.EditID
 		Version ident.Version
 	}
 
-	// Head names the newest release. The zero value stands for an absent row.
+	// Head is the value of the row Head, which identifies the newest release. The zero
+	// value represents an absent row.
 	Head struct {
 		// Version is at least 1 in a stored row.
 		Version ident.Version
@@ -38,8 +39,8 @@
 		EditID ident.EditID
 		// Object is ObjectName(Version, Digest).
 		Object string
-		// Recent holds the last accepted edits, at most MaxRecent, oldest first
-		// and without gaps; the last one is EditID with Version.
+		// Recent holds the latest accepted edits, at most MaxRecent, oldest first and
+		// with consecutive versions; the last one has EditID and Version.
 		Recent []Accepted
 	}
 )
@@ -54,8 +55,8 @@
 	return encode(h)
 }
 
-// DecodeHead decodes the row's value. It accepts only what EncodeHead writes,
-// apart from white space, because nothing else writes the row.
+// DecodeHead decodes the row's value. Apart from white space it accepts only the output
+// of EncodeHead, because nothing else writes the row.
 func DecodeHead(value []byte) (Head, error) {
 	h, err := decode[Head](value)
 	if err != nil {
@@ -74,7 +75,7 @@
 	return h, nil
 }
 
-// check returns an error unless h can be the value of a stored row.
+// check returns an error unless h is valid and consistent as a stored row.
 func (h Head) check() error {
 	n := len(h.Recent)
 	switch {
@@ -103,7 +104,7 @@
 	return nil
 }
 
-// Find returns the version of an edit that is among the recent ones.
+// Find returns the version of an edit, and false if it is not in Recent.
 func (h Head) Find(id ident.EditID) (ident.Version, bool) {
 	for _, a := range h.Recent {
 		if a.EditID == id {
@@ -113,7 +114,7 @@
 	return 0, false
 }
 
-// Next returns the head after h for a release with the next version.
+// Next returns the head that follows h when r, the next version, is released.
 func (h Head) Next(r model.Release) Head {
 	recent := append(slices.Clone(h.Recent), Accepted{EditID: r.EditID, Version: r.Version})
 	return Head{
@@ -127,12 +128,12 @@
 func encode[T any](v T) []byte {
 	body, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // every field of the row types has an encoding
+		panic(err) // not reached: every field of the row types can be encoded
 	}
 	return body
 }
 
-// decode decodes a row's value; unknown fields and trailing bytes are refused.
+// decode decodes a row's value; unknown fields and trailing bytes are errors.
 func decode[T any](value []byte) (T, error) {
 	var v, zero T
 	d := json.NewDecoder(bytes.NewReader(value))
--- a/core/order/head_test.go
+++ b/core/order/head_test.go
@@ -14,8 +14,8 @@
 	"hickoryrail/core/model"
 )
 
-// init fixes rapid's seed, so that every run tries the same cases. A -rapid.seed
-// on the command line takes precedence.
+// init sets a fixed rapid seed, so that every run tests the same cases. A -rapid.seed on
+// the command line takes precedence.
 func init() {
 	err := errors.Join(flag.Set("rapid.seed", "20261204"), flag.Set("rapid.nofailfile", "true"), flag.Set("rapid.checks", "400"))
 	if err != nil {
@@ -23,8 +23,8 @@
 	}
 }
 
-// heads returns a head after n releases.
-func heads(n int) Head {
+// headAfter returns the head after n releases.
+func headAfter(n int) Head {
 	var h Head
 	for i := range n {
 		r := model.Release{
@@ -40,7 +40,7 @@
 func TestHeadRecent(t *testing.T) {
 	is := is.New(t)
 	for _, n := range []int{1, MaxRecent, MaxRecent + 1, 5 * MaxRecent} {
-		h := heads(n)
+		h := headAfter(n)
 		is.Equal(len(h.Recent), min(n, MaxRecent))
 		got, err := DecodeHead(EncodeHead(h))
 		is.NoErr(err)
@@ -49,13 +49,13 @@
 		is.True(ok)
 		is.Equal(v, ident.Version(n))
 	}
-	_, ok := heads(MaxRecent + 1).Find("e0")
+	_, ok := headAfter(MaxRecent + 1).Find("e0")
 	is.True(!ok)
 }
 
-// TestDecodeHeadIsStrict guards against a damaged row that passes for a head.
+// TestDecodeHeadIsStrict guards against a damaged row that is decoded as a valid head.
 func TestDecodeHeadIsStrict(t *testing.T) {
-	good := string(EncodeHead(heads(3)))
+	good := string(EncodeHead(headAfter(3)))
 	for name, value := range map[string]string{
 		"empty":            "",
 		"null":             "null",
@@ -84,11 +84,11 @@
 	is.New(t).NoErr(err)
 }
 
-// FuzzDecodeHead guards against a value that is accepted and read differently by
-// two readers: whatever decodes encodes to the same JSON.
+// FuzzDecodeHead guards against a value that two readers decode differently: every value
+// that is accepted must survive encoding and decoding unchanged.
 func FuzzDecodeHead(f *testing.F) {
-	f.Add(EncodeHead(heads(1)))
-	f.Add(EncodeHead(heads(3)))
+	f.Add(EncodeHead(headAfter(1)))
+	f.Add(EncodeHead(headAfter(3)))
 	f.Add([]byte(`{"Version":1}`))
 	f.Fuzz(func(t *testing.T, value []byte) {
 		h, err := DecodeHead(value)
@@ -102,12 +102,12 @@
 	})
 }
 
-// FuzzDecodeRows guards against a panic on a damaged row, and against a row that
-// is accepted although its fields contradict each other.
+// FuzzDecodeRows guards against a panic on a damaged row, and against the acceptance of a
+// row with inconsistent fields.
 func FuzzDecodeRows(f *testing.F) {
 	f.Add(EncodeEditRow(EditRow{State: Released, Version: 3}))
 	f.Add(EncodeEditRow(EditRow{State: Refused, Clashes: []string{"Service/a/Slots"}}))
-	f.Add(EncodeHistory(HistoryOf(heads(2))))
+	f.Add(EncodeHistory(HistoryOf(headAfter(2))))
 	f.Add(EncodeEdit(Edit{ID: "x", Base: 2}))
 	f.Add(EncodeSchedule(ScheduleRow{ReleaseMillis: 5, Object: EditKey("x")}))
 	f.Fuzz(func(t *testing.T, value []byte) {
--- a/core/order/refusal.go
+++ b/core/order/refusal.go
@@ -5,8 +5,9 @@
 	"hickoryrail/core/ident"
 )
 
-// RefusalRecorded takes the outcome of RecordRefusal. Head is read again, because
-// a release may have come between the judgement and the record.
+// RefusalRecorded handles the result of RecordRefusal. Head is read again, because a
+// release may have been accepted after the edit was evaluated and before the refusal
+// was recorded.
 func (s *Submission) RefusalRecorded(now clock.Millis, reply Reply) Action {
 	if s.step != RecordRefusal {
 		return Action{}
@@ -14,23 +15,24 @@
 	if reply != OK {
 		return s.retry(now)
 	}
-	s.hasRefusal, s.refusedAt = true, s.revision
+	s.hasRefusal, s.refusalRevision = true, s.revision
 	return s.readHead()
 }
 
-// confirmRefusal makes a recorded refusal final. Another submitter of the same
-// edit may have read the edit's row before the refusal was recorded, and may
-// accept the edit against a head that it does not clash with. It cannot if Head
-// is still the one that was judged; otherwise Head is fenced.
+// confirmRefusal makes a recorded refusal final. Another submitter of the same edit may
+// have read the edit's row before the refusal was recorded, and may then accept the
+// edit against a head with which it does not conflict. This is impossible if Head is
+// still the one against which the edit was refused; otherwise Head is fenced by a write
+// that gives it a new revision.
 func (s *Submission) confirmRefusal() Action {
-	judged := s.hasRefusal && s.refusedAt == s.revision
-	if judged || s.revision == 0 || s.DryRun {
-		return s.end(Action{Kind: Refuse, Row: s.row})
+	headUnchanged := s.hasRefusal && s.refusalRevision == s.revision
+	if headUnchanged || s.revision == 0 || s.DryRun {
+		return s.finish(Action{Kind: Refuse, Row: s.row})
 	}
 	return s.await(Action{Kind: FenceHead, Head: s.head, Revision: s.revision})
 }
 
-// HeadFenced takes the outcome of FenceHead.
+// HeadFenced handles the result of FenceHead.
 func (s *Submission) HeadFenced(now clock.Millis, reply Reply) Action {
 	if s.step != FenceHead {
 		return Action{}
@@ -38,11 +40,11 @@
 	if reply != OK {
 		return s.retry(now)
 	}
-	return s.end(Action{Kind: Refuse, Row: s.row})
+	return s.finish(Action{Kind: Refuse, Row: s.row})
 }
 
-// accepted ends the submission with a version.
-func (s *Submission) accepted(v ident.Version) Action {
+// accept ends the submission with the version of the accepted edit.
+func (s *Submission) accept(v ident.Version) Action {
 	a := Action{Kind: Accept, Version: v}
 	if s.head.Version == v {
 		a.Head = s.head
@@ -50,19 +52,19 @@
 	if s.next.Version == v {
 		a.Release, a.Changes = s.next, s.changes
 	}
-	return s.end(a)
+	return s.finish(a)
 }
 
-// refuse records a refusal. A dry run writes nothing and ends here.
+// refuse asks for the refusal to be recorded; a dry run writes nothing and ends.
 func (s *Submission) refuse(clashes []string, reason string) Action {
 	row := s.refusalRow(clashes, reason)
 	if s.DryRun {
-		return s.end(Action{Kind: Refuse, Row: row})
+		return s.finish(Action{Kind: Refuse, Row: row})
 	}
 	return s.await(Action{Kind: RecordRefusal, Row: row, Revision: s.rowRevision})
 }
 
-// refusalRow returns the row of a refused edit.
+// refusalRow returns the row that records the edit as refused.
 func (s *Submission) refusalRow(clashes []string, reason string) EditRow {
 	return EditRow{State: Refused, Base: s.Edit.Base, Operator: s.Edit.Operator, Clashes: clashes, Reason: reason}
 }
--- a/core/order/schedule.go
+++ b/core/order/schedule.go
@@ -10,18 +10,18 @@
 	"hickoryrail/core/ident"
 )
 
-// SchedulePrefix starts the keys of schedule rows.
+// SchedulePrefix is the prefix of the keys of schedule rows.
 const SchedulePrefix = "Schedule/"
 
 type (
-	// ScheduleRow is the value of the row Schedule/<EditID>. The external
-	// scheduler may change ReleaseMillis at any time; a change after the edit's
-	// acceptance has no effect.
+	// ScheduleRow is the value of the row Schedule/<EditID>. The external scheduler may
+	// change ReleaseMillis at any time; a change after the edit was accepted has no
+	// effect.
 	ScheduleRow struct {
-		// ReleaseMillis is the release time, since the Unix epoch; a time in the
-		// past means now.
+		// ReleaseMillis is the release time since the Unix epoch; a time in the past
+		// means that the edit is due at once.
 		ReleaseMillis clock.Millis
-		// Object names the object that holds the edit.
+		// Object is the name of the object that contains the edit.
 		Object string
 		// Base is the version on which the edit is based.
 		Base ident.Version
@@ -30,7 +30,7 @@
 	// Pending is an edit that waits for its release time.
 	Pending struct {
 		EditID ident.EditID
-		// Revision is that of the row.
+		// Revision is the revision of the schedule row.
 		Revision ident.Revision
 		ScheduleRow
 	}
@@ -46,14 +46,14 @@
 	return encode(r)
 }
 
-// DecodePending decodes a schedule row with its key. The scheduler is another
-// program, so the order of the fields does not matter.
+// DecodePending decodes a schedule row with its key. It accepts the fields in any order,
+// because the external scheduler is another program.
 func DecodePending(key string, value []byte, revision ident.Revision) (Pending, error) {
 	id, ok := strings.CutPrefix(key, SchedulePrefix)
 	if !ok || !ValidEditID(ident.EditID(id)) {
 		return Pending{}, fmt.Errorf("schedule row has the malformed key %q", key)
 	}
-	// Without its time the row would be due at once, so the field is required.
+	// A missing time would decode as 0 and make the edit due at once, so it is required.
 	fields, err := decode[struct {
 		ReleaseMillis *clock.Millis
 		Object        string
@@ -80,8 +80,8 @@
 	})
 }
 
-// Due returns the edits whose time has come, in the order in which they are
-// accepted.
+// Due returns the edits whose release time has been reached, in the order in which they
+// are accepted.
 func Due(now clock.Millis, edits []Pending) []Pending {
 	var due []Pending
 	for _, e := range edits {
--- a/core/order/schedule_test.go
+++ b/core/order/schedule_test.go
@@ -10,8 +10,8 @@
 	"hickoryrail/core/ident"
 )
 
-// TestDue guards against a scheduled edit that is accepted early or never, and
-// against an order of acceptance that depends on the order of the rows.
+// TestDue guards against a scheduled edit that is due early or never, and against an
+// order of acceptance that depends on the order of the rows.
 func TestDue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ids := rapid.SliceOfDistinct(rapid.StringMatching(`[a-c]{1,2}`), rapid.ID[string]).Draw(t, "ids")
@@ -23,13 +23,13 @@
 		const now = 3
 		due := Due(now, edits)
 		again := Due(now, rapid.Permutation(edits).Draw(t, "rows"))
-		late := 0
+		notDue := 0
 		for _, e := range edits {
 			if e.ReleaseMillis > now {
-				late++
+				notDue++
 			}
 		}
-		if len(due)+late != len(edits) {
+		if len(due)+notDue != len(edits) {
 			t.Fatalf("%d of %d edits are due", len(due), len(edits))
 		}
 		for i, e := range due {
@@ -47,8 +47,8 @@
 	})
 }
 
-// TestDecodePending guards against a row without a time, which would be due at
-// once, and against a row that names another edit's object.
+// TestDecodePending guards against the acceptance of a row without a time, which would be
+// due at once, and of a row that names the object of another edit.
 func TestDecodePending(t *testing.T) {
 	is := is.New(t)
 	row := ScheduleRow{ReleaseMillis: 7, Object: EditKey("x"), Base: 2}
--- a/core/result/verdict.go
+++ b/core/result/verdict.go
@@ -1,4 +1,5 @@
-// Package result provides the verdict on a request: whether it may have run.
+// Package result provides verdicts, which indicate whether an operation may have taken
+// effect, and errors that carry them.
 package result
 
 import (
@@ -7,7 +8,7 @@
 )
 
 type (
-	// Verdict says whether an operation took effect at its destination.
+	// Verdict indicates whether an operation took effect at its destination.
 	Verdict uint8
 
 	// Error is a failure together with its verdict.
@@ -22,19 +23,19 @@
 )
 
 const (
-	// MayHaveRun means that the outcome is unknown. It is the zero value, so
-	// that a forgotten verdict is the cautious one.
+	// MayHaveRun means that the outcome is unknown. It is the zero value, so that an
+	// unset verdict never claims that an operation can safely be repeated.
 	MayHaveRun Verdict = iota
 	// NotRun means that the operation certainly had no effect.
 	NotRun
-	// Ran means that the destination answered, whatever its answer was.
+	// Ran means that the destination responded, whether with success or an error.
 	Ran
 )
 
-// verdictNames holds the text form of each verdict.
+// verdictNames holds the text of each verdict, indexed by its value.
 var verdictNames = [...]string{"MayHaveRun", "NotRun", "Ran"}
 
-// String returns the verdict's name as it stands in headers and logs.
+// String returns the verdict's name, as used in headers and logs.
 func (v Verdict) String() string {
 	if int(v) < len(verdictNames) {
 		return verdictNames[v]
@@ -42,8 +43,8 @@
 	return verdictNames[MayHaveRun]
 }
 
-// ParseVerdict returns the verdict with that name; unknown text is MayHaveRun
-// and false.
+// ParseVerdict returns the verdict with the name text, or MayHaveRun and false if there
+// is none.
 func ParseVerdict(text string) (Verdict, bool) {
 	for i, name := range verdictNames {
 		if name == text {
@@ -58,7 +59,7 @@
 	return &Error{Verdict: v, Reason: reason, Cause: cause}
 }
 
-// Error returns the reason, the verdict and the cause.
+// Error returns the reason, the verdict and, if set, the cause.
 func (e *Error) Error() string {
 	if e.Cause == nil {
 		return fmt.Sprintf("%s (%s)", e.Reason, e.Verdict)
@@ -71,8 +72,7 @@
 	return e.Cause
 }
 
-// Of returns the verdict that err carries. An error without one is MayHaveRun;
-// nil is Ran.
+// Of returns the verdict of err: Ran if err is nil, and MayHaveRun if it wraps no Error.
 func Of(err error) Verdict {
 	if err == nil {
 		return Ran
@@ -84,7 +84,7 @@
 	return MayHaveRun
 }
 
-// Reason returns the reason that err carries, or its text.
+// Reason returns the reason of the Error that err wraps, or the text of any other error.
 func Reason(err error) string {
 	if err == nil {
 		return ""
--- a/io/plat/schedule.go
+++ b/io/plat/schedule.go
@@ -106,7 +106,7 @@
 	}
 	if err != nil {
 		edit := order.Edit{ID: p.EditID, Base: p.Base}
-		return &order.Submission{Edit: edit, Invalid: "the scheduled edit is unreadable: " + err.Error()}, nil
+		return &order.Submission{Edit: edit, InvalidReason: "the scheduled edit is unreadable: " + err.Error()}, nil
 	}
 	return &order.Submission{Edit: e}, nil
 }
