--- a/core/admit/classqueue.go
+++ b/core/admit/classqueue.go
@@ -9,57 +9,62 @@
 	"hickoryrail/core/model"
 )
 
-// classes is the number of classes.
-const classes = int(model.Browse) + 1
+// classCount is the number of request classes.
+const classCount = int(model.Browse) + 1
 
 type (
-	// waiting is a call in a classQueue.
-	waiting struct {
+	// queuedCall is a waiting call and the time at which it arrived.
+	queuedCall struct {
 		Call
-		// arrived orders calls that reached the ageing bound.
+		// arrived is the time at which the call was queued; a class that reached its
+		// ageing bound starts its oldest call first.
 		arrived clock.Millis
 	}
 
-	// classQueue is the queue of a ByClass gate.
+	// classQueue is the queue of a gate with the order ByClass.
 	classQueue struct {
 		gate *Gate
-		// lists holds the waiting calls of each class, the next one first.
-		lists [classes][]waiting
-		// served is when each class last started a call or began to wait.
-		served [classes]clock.Millis
-		// others counts the starts of other classes since the last action.
-		others int
-		// run is the moving average of each class's run time; 0 before the first.
-		run [classes]clock.Millis
+		// lists holds the waiting calls of each class in order of deadline.
+		lists [classCount][]queuedCall
+		// lastServed is the time at which each class last started a call, or at which
+		// its list last became non-empty, whichever is later.
+		lastServed [classCount]clock.Millis
+		// startsSinceAction counts the starts of other classes since the last start
+		// of a call of class Action.
+		startsSinceAction int
+		// averageRun is the moving average of each class's run time; 0 until a call
+		// has finished.
+		averageRun [classCount]clock.Millis
 	}
 )
 
-// push adds c to its list unless it would wait beyond its deadline; a full queue
-// refuses c or a call that goes later.
+// push queues c unless it is expected to wait beyond its deadline. A full queue
+// refuses the last call of a lower-priority class in favour of c, or c itself if there
+// is none; it refuses neither if no other call of c's class waits.
 func (q *classQueue) push(now clock.Millis, c Call, actions []Action) []Action {
-	if now+q.wait(c) > c.Deadline {
+	if now+q.expectedWait(c) > c.Deadline {
 		return append(actions, refuse(c.ID, ReasonWait))
 	}
 	if q.size() >= q.gate.QueueLength && len(q.lists[c.Class]) > 0 {
-		victim, ok := q.displace(c.Class)
+		displaced, ok := q.displace(c.Class)
 		if !ok {
 			return append(actions, refuse(c.ID, ReasonFull))
 		}
-		actions = append(actions, refuse(victim, ReasonDisplaced))
+		actions = append(actions, refuse(displaced, ReasonDisplaced))
 	}
 	list := q.lists[c.Class]
 	if len(list) == 0 {
-		q.served[c.Class] = now
+		q.lastServed[c.Class] = now
 	}
-	at, _ := slices.BinarySearchFunc(list, c.Deadline, func(w waiting, d clock.Millis) int {
+	at, _ := slices.BinarySearchFunc(list, c.Deadline, func(w queuedCall, d clock.Millis) int {
 		// Equal deadlines keep the order of arrival.
 		return cmp.Or(cmp.Compare(w.Deadline, d), -1)
 	})
-	q.lists[c.Class] = slices.Insert(list, at, waiting{Call: c, arrived: now})
+	q.lists[c.Class] = slices.Insert(list, at, queuedCall{Call: c, arrived: now})
 	return actions
 }
 
-// pop removes the call to start next.
+// pop removes the call to start next and returns it with the reason of the choice.
 func (q *classQueue) pop(now clock.Millis) (Call, string) {
 	class, at, reason := q.choose(now)
 	c := q.lists[class][at].Call
@@ -70,7 +75,7 @@
 // expire refuses the waiting calls whose deadline has passed.
 func (q *classQueue) expire(now clock.Millis, actions []Action) []Action {
 	for class, list := range q.lists {
-		// A list is in order of deadline, so the expired calls lead it.
+		// A list is in order of deadline, so the expired calls are at its head.
 		n := 0
 		for n < len(list) && now >= list[n].Deadline {
 			actions = append(actions, refuse(list[n].ID, ReasonExpired))
@@ -81,7 +86,7 @@
 	return actions
 }
 
-// remove removes a call and reports whether it waited.
+// remove removes a waiting call and reports whether it was queued.
 func (q *classQueue) remove(id ident.RequestID) bool {
 	for class, list := range q.lists {
 		for i := range list {
@@ -105,22 +110,22 @@
 	return actions
 }
 
-// started notes which class got a slot.
+// started records the start of c for ageing and for the share of actions.
 func (q *classQueue) started(now clock.Millis, c Call) {
-	q.served[c.Class] = now
-	q.others++
+	q.lastServed[c.Class] = now
+	q.startsSinceAction++
 	if c.Class == model.Action {
-		q.others = 0
+		q.startsSinceAction = 0
 	}
 }
 
-// finished takes the run time of a call.
+// finished adds the run time of c to the average of its class.
 func (q *classQueue) finished(c Call, took clock.Millis) {
-	average(&q.run[c.Class], took)
+	updateAverage(&q.averageRun[c.Class], took)
 }
 
-// next returns the earliest deadline, or clock.Forever.
-func (q *classQueue) next() clock.Millis {
+// nextExpiry returns the earliest deadline of a waiting call, or clock.Forever.
+func (q *classQueue) nextExpiry() clock.Millis {
 	next := clock.Forever
 	for _, list := range q.lists {
 		if len(list) > 0 {
@@ -139,7 +144,7 @@
 	return n
 }
 
-// has reports whether a call waits.
+// has reports whether the call with that id is queued.
 func (q *classQueue) has(id ident.RequestID) bool {
 	for _, list := range q.lists {
 		for i := range list {
@@ -151,12 +156,13 @@
 	return false
 }
 
-// choose returns the class and the place of the call to start: an action if its
-// share is owed, else the longest waiting call of a class that reached the ageing
-// bound, else the earliest deadline of the first class. At least one call waits.
+// choose returns the class and the list index of the call to start: an action if its
+// share is due, else the oldest call of the class that reached its ageing bound first,
+// else the call with the earliest deadline in the class of highest priority. At least
+// one call must wait.
 func (q *classQueue) choose(now clock.Millis) (class, at int, reason string) {
 	every := q.gate.ActionEvery
-	if every > 0 && q.others >= every-1 && len(q.lists[model.Action]) > 0 {
+	if every > 0 && q.startsSinceAction >= every-1 && len(q.lists[model.Action]) > 0 {
 		return int(model.Action), 0, ReasonShare
 	}
 	first, aged := -1, -1
@@ -167,7 +173,7 @@
 		if first < 0 {
 			first = class
 		}
-		if now-q.served[class] >= q.gate.AgeingMillis && (aged < 0 || q.served[class] < q.served[aged]) {
+		if now-q.lastServed[class] >= q.gate.AgeingMillis && (aged < 0 || q.lastServed[class] < q.lastServed[aged]) {
 			aged = class
 		}
 	}
@@ -183,69 +189,73 @@
 	return aged, oldest, ReasonAged
 }
 
-// displace removes the last call of the last class that goes after class. A
-// class keeps its only waiting call, so that it reaches its ageing bound.
+// displace removes the call with the latest deadline from the class of lowest priority
+// below class, and returns its id. The only waiting call of a class is never displaced,
+// so that the class reaches its ageing bound.
 func (q *classQueue) displace(class model.Class) (ident.RequestID, bool) {
-	for later := classes - 1; later > int(class); later-- {
+	for later := classCount - 1; later > int(class); later-- {
 		if list := q.lists[later]; len(list) > 1 {
-			victim := list[len(list)-1].ID
+			displaced := list[len(list)-1].ID
 			q.lists[later] = list[:len(list)-1]
-			return victim, true
+			return displaced, true
 		}
 	}
 	return "", false
 }
 
-// wait returns how long c would wait: the calls ahead of it and the running
-// ones, spread over the slots.
-func (q *classQueue) wait(c Call) clock.Millis {
-	limit := q.gate.limit() - q.gate.occupied
+// expectedWait returns how long c would wait: the expected run times of the calls ahead
+// of it and one average run time for the running calls, divided by the slots.
+func (q *classQueue) expectedWait(c Call) clock.Millis {
+	limit := q.gate.limit() - q.gate.announced
 	if limit <= 0 {
-		return 0 // announced slots free themselves; the deadline bounds the wait
+		return 0 // announced slots expire by themselves; the deadline bounds the wait
 	}
-	// The running calls end one run time apart on average.
+	// The ends of the running calls are spread over one average run time.
 	var work clock.Millis
 	for _, r := range q.gate.running {
-		work += q.expected(r.Class) / clock.Millis(len(q.gate.running))
+		work += q.expectedRun(r.Class) / clock.Millis(len(q.gate.running))
 	}
-	own := 0
-	for own < len(q.lists[c.Class]) && q.lists[c.Class][own].Deadline <= c.Deadline {
-		own++
+	sameClass := 0
+	for sameClass < len(q.lists[c.Class]) && q.lists[c.Class][sameClass].Deadline <= c.Deadline {
+		sameClass++
 	}
-	work += clock.Millis(own) * q.expected(c.Class)
-	for class := range model.Class(classes) {
-		work += clock.Millis(q.ahead(class, c.Class, own)) * q.expected(class)
+	work += clock.Millis(sameClass) * q.expectedRun(c.Class)
+	for class := range model.Class(classCount) {
+		work += clock.Millis(q.countAhead(class, c.Class, sameClass)) * q.expectedRun(class)
 	}
 	return work / clock.Millis(limit)
 }
 
-// ahead returns how many waiting calls of class start before a new call of another
-// class that has own calls of its class before it.
-func (q *classQueue) ahead(class, of model.Class, own int) int {
+// countAhead returns how many waiting calls of class start before a new call of newClass
+// that has sameClass calls of its own class ahead of it. It is 0 if the classes are the
+// same.
+func (q *classQueue) countAhead(class, newClass model.Class, sameClass int) int {
 	queued, every := len(q.lists[class]), q.gate.ActionEvery
 	switch {
-	case class == of:
+	case class == newClass:
 		return 0
-	case every > 1 && of == model.Action && class < of:
-		return min(queued, (own+1)*(every-1))
-	case every > 1 && of < model.Action && class == model.Action:
-		return min(queued, own/(every-1)+1)
-	case class < of:
+	case every > 1 && newClass == model.Action && class < newClass:
+		return min(queued, (sameClass+1)*(every-1))
+	case every > 1 && newClass < model.Action && class == model.Action:
+		return min(queued, sameClass/(every-1)+1)
+	case class < newClass:
 		return queued
 	}
 	return 0
 }
 
-// expected returns the expected run time of a class.
-func (q *classQueue) expected(class model.Class) clock.Millis {
-	if q.run[class] > 0 {
-		return q.run[class]
+// expectedRun returns the average run time of a class, or RunMillis before its first
+// call has finished.
+func (q *classQueue) expectedRun(class model.Class) clock.Millis {
+	if q.averageRun[class] > 0 {
+		return q.averageRun[class]
 	}
 	return q.gate.RunMillis
 }
 
-// average adds a run time to a moving average, which is 0 before the first.
-func average(run *clock.Millis, took clock.Millis) {
+// updateAverage adds a run time to an exponential moving average, which is 0 before the
+// first one.
+func updateAverage(run *clock.Millis, took clock.Millis) {
 	if *run == 0 {
 		*run = took
 	}
--- a/core/admit/gate.go
+++ b/core/admit/gate.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// Start means that the call must run now.
+	// Start asks the owner to run the call now.
 	Start Kind = iota
-	// Refuse means that the call has not run and never will.
+	// Refuse asks the owner to reject the call, which has not run and will not run.
 	Refuse
-	// Drained means that a drain is complete: no call runs or waits.
+	// Drained reports that a drain is complete: no call runs or waits.
 	Drained
 )
 
@@ -20,58 +20,62 @@
 	ReasonFree = "free slot"
 	// ReasonQueued is a start from the queue.
 	ReasonQueued = "next in queue"
-	// ReasonAged is a start ahead of a class that goes first.
+	// ReasonAged is a start ahead of a higher-priority class, by the ageing bound.
 	ReasonAged = "class reached its ageing bound"
-	// ReasonShare is the start of an action whose share is owed.
+	// ReasonShare is the start of an action because the share of actions is due.
 	ReasonShare = "share of actions is owed"
 	// ReasonDraining is a refusal during a drain.
 	ReasonDraining = "target is draining"
 	// ReasonFull is a refusal by a full queue.
 	ReasonFull = "queue is full"
-	// ReasonDisplaced is a refusal in favour of a call of a class that goes first.
+	// ReasonDisplaced is a refusal by a full queue in favour of a call of a
+	// higher-priority class.
 	ReasonDisplaced = "displaced by a class that goes first"
 	// ReasonWait is a refusal of a call that would wait beyond its deadline.
 	ReasonWait = "expected wait exceeds the deadline"
 	// ReasonExpired is a refusal of a call whose deadline has passed.
 	ReasonExpired = "deadline passed before the start"
-	// ReasonBusy is a refusal of a call that looks for a free slot.
-	ReasonBusy = "no free slot soon, and the call looks for one"
-	// ReasonCancelled is a refusal of a waiting call that its caller gave up.
+	// ReasonNoFreeSlot is a refusal of a call that fails fast.
+	ReasonNoFreeSlot = "no free slot soon, and the call looks for one"
+	// ReasonCancelled is a refusal of a waiting call that its caller cancelled.
 	ReasonCancelled = "cancelled while waiting"
 )
 
 const (
-	// ByClass starts waiting calls by class, and within a class by deadline.
+	// ByClass starts waiting calls by class, and within a class by deadline. The class
+	// with the lowest value has the highest priority.
 	ByClass Order = iota
-	// ByGoal starts waiting calls by rank, and refuses at once what would wait
-	// beyond its goal.
+	// ByGoal starts waiting calls by rank, and within a rank by goal. It refuses
+	// calls at once that would miss their goals, except for a few that may use idle
+	// slots.
 	ByGoal
 )
 
 const (
-	// actionRoom is the number of actions that need no new memory.
-	actionRoom = 16
-	// lookShare is the part of the time to its goal that a call which looks for a
-	// free slot may wait for one. A short wait costs less than the way to another
+	// initialActionCapacity is the number of actions that a method returns without
+	// an allocation.
+	initialActionCapacity = 16
+	// failFastShare is the share of the time to its goal that a call with FailFast
+	// may wait for a slot. A short wait costs less than the round trip to another
 	// failure domain.
-	lookShare = 0.15
+	failFastShare = 0.15
 	// runWeight is the weight of the newest run time in its moving average.
 	runWeight = 0.1
 )
 
 type (
-	// Kind says what an action asks for.
+	// Kind is the kind of an action.
 	Kind uint8
 
-	// Order names the policy of the queue.
+	// Order is the policy by which waiting calls are ordered and refused.
 	Order uint8
 
-	// Action is what the owner of a gate must do.
+	// Action is an instruction or a notification for the owner of a gate.
 	Action struct {
 		Kind Kind
 		// ID is the call to start or refuse; empty for Drained.
 		ID ident.RequestID
-		// Reason is a constant phrase.
+		// Reason is one of the Reason constants; empty for Drained.
 		Reason string
 	}
 
@@ -81,88 +85,95 @@
 		Class model.Class
 		// Rank orders the calls of a ByGoal gate; the lower one goes first.
 		Rank Rank
-		// Goal is the instant by which the caller hopes for an answer; 0 if it
-		// states none.
+		// Goal is the instant by which the call should be answered; 0 if it has no
+		// response-time goal.
 		Goal clock.Millis
-		// Deadline is the instant after which an answer is worthless.
+		// Deadline is the instant after which the caller no longer waits for an answer;
+		// the call is never started then.
 		Deadline clock.Millis
-		// Looks refuses the call unless a slot is free now or soon.
-		Looks bool
+		// FailFast refuses the call at once unless a slot is free now or soon.
+		FailFast bool
 	}
 
-	// queue holds the waiting calls of a gate.
+	// queue holds the waiting calls of a gate in the gate's Order.
 	queue interface {
-		// push queues c, or refuses it or others in its favour.
+		// push queues c, refuses c, or refuses another call in favour of c.
 		push(now clock.Millis, c Call, actions []Action) []Action
-		// pop removes the call to start next; at least one call waits.
+		// pop removes the call to start next and returns it with the reason of the
+		// choice; at least one call must wait.
 		pop(now clock.Millis) (Call, string)
 		// expire refuses the calls that must not wait any longer.
 		expire(now clock.Millis, actions []Action) []Action
-		// wait returns how long c would wait behind the calls that go before it.
-		wait(c Call) clock.Millis
-		// remove removes a call and reports whether it waited.
+		// expectedWait returns how long c would wait for a slot.
+		expectedWait(c Call) clock.Millis
+		// remove removes a waiting call and reports whether it was queued.
 		remove(id ident.RequestID) bool
 		// clear removes and refuses every call.
 		clear(actions []Action, reason string) []Action
-		// started and finished tell of a call in a slot.
+		// started records that c got a slot, finished that it ran for took and freed
+		// it.
 		started(now clock.Millis, c Call)
 		finished(c Call, took clock.Millis)
-		// next returns the instant at which expire has something to do.
-		next() clock.Millis
+		// nextExpiry returns the instant at which expire is due, or clock.Forever.
+		nextExpiry() clock.Millis
 		size() int
 		has(id ident.RequestID) bool
 	}
 
-	// Gate admits requests to one target. It holds no lock, so its owner
-	// serializes the calls. Set the exported fields before the first call. The
-	// actions that a method returns are valid until the next call.
+	// Gate admits requests to one target. It is not safe for concurrent use: its
+	// owner serializes the method calls and sets the exported fields before the first
+	// one. The returned actions are valid until the next method call.
 	//
-	// Invariants: running calls plus announced ones never exceed the smaller of
-	// Slots and Connections through a start; every call that arrives ends in
-	// exactly one Start or Refuse; a refused call was never started; while a
-	// drain lasts, nothing starts.
+	// Invariants: no start makes running plus announced calls exceed the smaller of
+	// Slots and Connections; every call that arrives gets exactly one Start or
+	// Refuse; no call starts during a drain.
 	Gate struct {
-		// Order is the policy of the queue.
+		// Order is the order of the waiting calls.
 		Order Order
 		// Slots is the number of requests that the target runs at the same time.
 		Slots ident.Slots
 		// Connections is the number of connections that the target accepts; each
 		// running call uses one.
 		Connections ident.Connections
-		// QueueLength bounds the waiting calls; at least 1. A class without a
-		// waiting call may add one beyond it, so that no class is kept out.
+		// QueueLength bounds the waiting calls; at least 1. Under ByClass, a class
+		// without a waiting call may add one beyond it, so that no class is starved
+		// by a full queue.
 		QueueLength int
 		// AgeingMillis bounds the time for which a class with waiting calls is
-		// passed over by classes that go first.
+		// passed over in favour of higher-priority classes.
 		AgeingMillis clock.Millis
-		// ActionEvery keeps a share for actions: while one waits, at least each
-		// ActionEvery-th start is an action. 0 keeps none.
+		// ActionEvery reserves a share of the starts for actions: while one waits, at
+		// least every ActionEvery-th start is an action. 0 reserves none.
 		ActionEvery int
-		// RunMillis is the expected run time of a class without a finished call.
+		// RunMillis is the expected run time of a class or rank until one of its calls
+		// has finished.
 		RunMillis clock.Millis
-		// OccupiedMillis bounds how long an announced slot counts as occupied.
+		// OccupiedMillis bounds the time for which an announced slot counts as
+		// occupied.
 		OccupiedMillis clock.Millis
 
 		// running holds the running calls.
 		running map[ident.RequestID]Call
-		// waiting is created with the first call.
+		// waiting is nil until queue creates it.
 		waiting queue
-		// actions is the memory of the returned slices.
+		// actions is the reused buffer of the returned slices.
 		actions []Action
-		// occupied counts slots held by calls that an earlier gate started.
-		occupied      int
-		occupiedUntil clock.Millis
-		draining      bool
-		// drainedSent is whether Drained was returned for this drain.
+		// announced counts the slots that the target reports as occupied by calls
+		// which this gate did not start, such as those of an earlier incarnation. They
+		// expire at announcedUntil.
+		announced      int
+		announcedUntil clock.Millis
+		draining       bool
+		// drainedSent reports whether Drained was returned for this drain.
 		drainedSent bool
 	}
 )
 
-// Arrive asks for a slot. The call is started, refused or queued; a queued call
-// gets its action from a later call of any method. An id that already runs or
-// waits is ignored, since starting it would run the request twice.
+// Arrive starts, refuses or queues c. The action for a queued call is returned by a
+// later call of any method. An id that already runs or waits is ignored, since
+// starting it would run the request twice.
 func (g *Gate) Arrive(now clock.Millis, c Call) []Action {
-	actions := g.advance(now, g.buffer())
+	actions := g.advance(now, g.actionBuffer())
 	c.Rank = min(c.Rank, LastRank)
 	switch {
 	case g.holds(c.ID):
@@ -174,13 +185,13 @@
 	case g.free() > 0:
 		g.start(now, c)
 		return append(actions, Action{Kind: Start, ID: c.ID, Reason: ReasonFree})
-	case c.Looks && g.queue().wait(c) > lookShare*(c.goal()-now):
-		return append(actions, refuse(c.ID, ReasonBusy))
+	case c.FailFast && g.queue().expectedWait(c) > failFastShare*(c.effectiveGoal()-now):
+		return append(actions, refuse(c.ID, ReasonNoFreeSlot))
 	}
 	return g.queue().push(now, c, actions)
 }
 
-// Finish ends a running call; took is its run time. An unknown id is ignored.
+// Finish releases the slot of a call that ran for took. An unknown id is ignored.
 func (g *Gate) Finish(now clock.Millis, id ident.RequestID, took clock.Millis) []Action {
 	c, ok := g.running[id]
 	if !ok {
@@ -188,69 +199,67 @@
 	}
 	delete(g.running, id)
 	g.queue().finished(c, took)
-	return g.advance(now, g.buffer())
+	return g.advance(now, g.actionBuffer())
 }
 
-// Cancel withdraws a waiting call, which is refused. A running call keeps its
-// slot until Finish.
+// Cancel refuses a waiting call. A running call keeps its slot until Finish.
 func (g *Gate) Cancel(now clock.Millis, id ident.RequestID) []Action {
 	if !g.queue().remove(id) {
 		return nil
 	}
-	return g.advance(now, append(g.buffer(), refuse(id, ReasonCancelled)))
+	return g.advance(now, append(g.actionBuffer(), refuse(id, ReasonCancelled)))
 }
 
-// Tick drops expired calls and releases announced slots that have expired. It
-// is due at Next.
+// Tick refuses expired calls and releases expired announced slots. It is due at Next.
 func (g *Gate) Tick(now clock.Millis) []Action {
-	return g.advance(now, g.buffer())
+	return g.advance(now, g.actionBuffer())
 }
 
 // Next returns the instant of the next due Tick, or clock.Forever.
 func (g *Gate) Next() clock.Millis {
 	next := clock.Forever
-	if g.occupied > 0 {
-		next = g.occupiedUntil
+	if g.announced > 0 {
+		next = g.announcedUntil
 	}
-	return min(next, g.queue().next())
+	return min(next, g.queue().nextExpiry())
 }
 
-// Drain refuses waiting and new calls. Drained follows when the last running
-// call has ended, at once if none runs. A repeated drain changes nothing.
+// Drain refuses waiting and new calls. Drained is returned when the last running call
+// has ended, at once if none runs. A repeated Drain has no effect.
 func (g *Gate) Drain(now clock.Millis) []Action {
 	g.draining = true
-	return g.advance(now, g.queue().clear(g.buffer(), ReasonDraining))
+	return g.advance(now, g.queue().clear(g.actionBuffer(), ReasonDraining))
 }
 
-// Reopen ends a drain, for a target that announces itself again.
+// Reopen ends a drain, because the target has registered again.
 func (g *Gate) Reopen(now clock.Millis) []Action {
 	g.draining, g.drainedSent = false, false
-	return g.advance(now, g.buffer())
+	return g.advance(now, g.actionBuffer())
 }
 
-// Announce sets the requests that the target runs by its own count, of which
-// those that this gate did not start occupy slots.
+// Announce accepts the number of requests that the target itself counts as running.
+// Those that this gate did not start occupy slots for at most OccupiedMillis.
 func (g *Gate) Announce(now clock.Millis, inFlight int) []Action {
-	foreign := max(inFlight-len(g.running), min(inFlight, g.occupied), 0)
-	g.occupied, g.occupiedUntil = foreign, now+g.OccupiedMillis
-	return g.advance(now, g.buffer())
+	external := max(inFlight-len(g.running), min(inFlight, g.announced), 0)
+	g.announced, g.announcedUntil = external, now+g.OccupiedMillis
+	return g.advance(now, g.actionBuffer())
 }
 
-// Renew lowers the announced slots to the target's present count. It never
-// raises them: what the count holds beyond them was started by this gate.
+// Renew lowers the announced slots to the target's current count. It never raises
+// them: any further requests in the count were started by this gate.
 func (g *Gate) Renew(now clock.Millis, inFlight int) []Action {
-	g.occupied = min(g.occupied, max(inFlight, 0))
-	return g.advance(now, g.buffer())
+	g.announced = min(g.announced, max(inFlight, 0))
+	return g.advance(now, g.actionBuffer())
 }
 
-// Resize sets the limits of another release or target. Running calls beyond
-// the new limits continue.
+// Resize sets new limits after a change of the release or target. Running calls in
+// excess of them continue.
 func (g *Gate) Resize(now clock.Millis, slots ident.Slots, connections ident.Connections) []Action {
 	g.Slots, g.Connections = slots, connections
-	return g.advance(now, g.buffer())
+	return g.advance(now, g.actionBuffer())
 }
 
-// Load returns the free slots and the queue's length.
+// Load returns the number of free slots, 0 during a drain, and the queue's length.
 func (g *Gate) Load() Load {
 	free := g.free()
 	if g.draining {
@@ -259,9 +268,9 @@
 	return Load{Free: max(free, 0), Queued: g.queued()}
 }
 
-// Occupied returns the slots in use: running and announced calls.
+// Occupied returns the number of slots in use, by running and by announced calls.
 func (g *Gate) Occupied() int {
-	return len(g.running) + g.occupied
+	return len(g.running) + g.announced
 }
 
 // Running returns the number of running calls that this gate started.
@@ -269,19 +278,19 @@
 	return len(g.running)
 }
 
-// buffer returns the memory for the actions of one call.
-func (g *Gate) buffer() []Action {
+// actionBuffer returns the empty buffer for the actions of one method call.
+func (g *Gate) actionBuffer() []Action {
 	if g.actions == nil {
-		g.actions = make([]Action, 0, actionRoom)
+		g.actions = make([]Action, 0, initialActionCapacity)
 	}
 	return g.actions[:0]
 }
 
-// advance drops what has expired, starts what has a slot and reports a
+// advance refuses expired calls, starts waiting calls on free slots and reports a
 // completed drain.
 func (g *Gate) advance(now clock.Millis, actions []Action) []Action {
-	if g.occupied > 0 && now >= g.occupiedUntil {
-		g.occupied = 0
+	if g.announced > 0 && now >= g.announcedUntil {
+		g.announced = 0
 	}
 	if g.queued() > 0 {
 		actions = g.waiting.expire(now, actions)
@@ -298,7 +307,7 @@
 	return actions
 }
 
-// start gives c a slot.
+// start records that c occupies a slot.
 func (g *Gate) start(now clock.Millis, c Call) {
 	if g.running == nil {
 		g.running = make(map[ident.RequestID]Call)
@@ -307,7 +316,7 @@
 	g.queue().started(now, c)
 }
 
-// queue returns the waiting calls under the gate's order.
+// queue returns the queue of the gate's order and creates it at first use.
 func (g *Gate) queue() queue {
 	if g.waiting == nil {
 		if g.Order == ByGoal {
@@ -324,7 +333,7 @@
 	return min(int(g.Slots), int(g.Connections))
 }
 
-// free returns the free slots; negative after the limits have shrunk.
+// free returns the number of free slots; negative after the limits were lowered.
 func (g *Gate) free() int {
 	return g.limit() - g.Occupied()
 }
--- a/core/admit/goalqueue.go
+++ b/core/admit/goalqueue.go
@@ -10,19 +10,20 @@
 
 const (
 	// InnerRank is the rank of a call that a running request makes. It goes before
-	// all new requests, since the request that makes it holds a slot.
+	// all new requests, since the request that makes it occupies a slot meanwhile.
 	InnerRank Rank = 0
 	// LastRank is the largest rank.
 	LastRank Rank = 7
 
-	// ReasonGoal is a refusal of a call that would miss its goal while others wait.
+	// ReasonGoal is a refusal of a call that would miss its goal, when the queue
+	// already holds its maximum of such calls.
 	ReasonGoal = "expected wait exceeds the response-time goal"
-	// ReasonLate is a start of a call that misses its goal, in a slot that no
-	// other call wants.
+	// ReasonLate is a start of a call that is expected to miss its goal, in a slot
+	// for which no other call waits.
 	ReasonLate = "slot is free for a late call"
 
 	// lateShare bounds the calls that wait although they will miss their goals, as
-	// a share of the slots. They keep the slots busy when the others run out.
+	// a share of the slots. They keep the slots busy when no other call waits.
 	lateShare = 0.5
 )
 
@@ -30,26 +31,28 @@
 	// Rank orders calls by urgency; the lower one goes first.
 	Rank uint8
 
-	// goalQueue is the queue of a ByGoal gate. It answers an overload that lasts:
-	// with a queue that is bounded by the deadline, every call waits until nearly
-	// all of its time is gone, and all are late. Here a call waits only if it can
-	// still be answered by its goal; the rest is refused while its caller has the
-	// time to come back.
+	// goalQueue is the queue of a gate with the order ByGoal, for sustained overload.
+	// If only the deadline bounds the wait, every call waits for most of its time
+	// under such a load, and all answers are late. Here a call waits only if it can
+	// be answered by its goal, apart from a few late ones; the others are refused
+	// early enough for their callers to retry.
 	goalQueue struct {
 		gate *Gate
 		// lists holds the waiting calls of each rank in order of goal.
 		lists [LastRank + 1][]Call
-		// late holds calls that will miss their goals, in order of deadline. They
-		// start only if nothing else waits.
+		// late holds the calls that will miss their goals, in order of deadline. They
+		// start only when no other call waits.
 		late []Call
-		// run is the moving average of each rank's run time; 0 before the first.
-		run [LastRank + 1]clock.Millis
+		// averageRun is the moving average of each rank's run time; 0 until a call has
+		// finished.
+		averageRun [LastRank + 1]clock.Millis
 	}
 )
 
-// push queues c if it can be answered by its goal, or among the few late calls.
+// push queues c if it can be answered by its goal, or else among the late calls if
+// there is room. It refuses c if the queue is full or if c cannot end by its deadline.
 func (q *goalQueue) push(now clock.Millis, c Call, actions []Action) []Action {
-	end := now + q.wait(c) + q.expected(c.Rank)
+	end := now + q.expectedWait(c) + q.expectedRun(c.Rank)
 	switch {
 	case end > c.Deadline:
 		return append(actions, refuse(c.ID, ReasonWait))
@@ -59,14 +62,14 @@
 		return q.pushLate(c, actions)
 	}
 	list := q.lists[c.Rank]
-	at, _ := slices.BinarySearchFunc(list, c.goal(), func(w Call, goal clock.Millis) int {
-		return cmp.Or(cmp.Compare(w.goal(), goal), -1)
+	at, _ := slices.BinarySearchFunc(list, c.effectiveGoal(), func(w Call, goal clock.Millis) int {
+		return cmp.Or(cmp.Compare(w.effectiveGoal(), goal), -1)
 	})
 	q.lists[c.Rank] = slices.Insert(list, at, c)
 	return actions
 }
 
-// pushLate queues a call that will miss its goal if there is room for one.
+// pushLate queues a call that will miss its goal, or refuses it if lateShare is used up.
 func (q *goalQueue) pushLate(c Call, actions []Action) []Action {
 	if len(q.late) >= max(int(lateShare*float64(q.gate.limit())), 1) {
 		return append(actions, refuse(c.ID, ReasonGoal))
@@ -78,7 +81,7 @@
 	return actions
 }
 
-// pop removes the call to start next.
+// pop removes the call to start next and returns it with the reason of the choice.
 func (q *goalQueue) pop(clock.Millis) (Call, string) {
 	for rank, list := range q.lists {
 		if len(list) > 0 {
@@ -92,13 +95,13 @@
 	return c, ReasonLate
 }
 
-// expire moves the calls that can no longer meet their goals to the late ones, and
-// refuses those that can no longer be answered in time.
+// expire moves calls that can no longer meet their goals to the late calls, and refuses
+// calls that can no longer end by their deadlines.
 func (q *goalQueue) expire(now clock.Millis, actions []Action) []Action {
 	for rank := range q.lists {
 		list := q.lists[rank][:0]
 		for _, c := range q.lists[rank] {
-			end := now + q.expected(c.Rank)
+			end := now + q.expectedRun(c.Rank)
 			switch {
 			case end > c.Deadline:
 				actions = append(actions, refuse(c.ID, ReasonWait))
@@ -111,24 +114,24 @@
 		q.lists[rank] = list
 	}
 	q.late = slices.DeleteFunc(q.late, func(c Call) bool {
-		hopeless := now+q.expected(c.Rank) > c.Deadline
-		if hopeless {
+		expired := now+q.expectedRun(c.Rank) > c.Deadline
+		if expired {
 			actions = append(actions, refuse(c.ID, ReasonWait))
 		}
-		return hopeless
+		return expired
 	})
 	return actions
 }
 
-// remove removes a call and reports whether it waited.
+// remove removes a waiting call and reports whether it was queued.
 func (q *goalQueue) remove(id ident.RequestID) bool {
-	before := q.size()
-	is := func(c Call) bool { return c.ID == id }
+	sizeBefore := q.size()
+	matches := func(c Call) bool { return c.ID == id }
 	for rank := range q.lists {
-		q.lists[rank] = slices.DeleteFunc(q.lists[rank], is)
+		q.lists[rank] = slices.DeleteFunc(q.lists[rank], matches)
 	}
-	q.late = slices.DeleteFunc(q.late, is)
-	return q.size() < before
+	q.late = slices.DeleteFunc(q.late, matches)
+	return q.size() < sizeBefore
 }
 
 // clear removes and refuses every call.
@@ -146,25 +149,25 @@
 	return actions
 }
 
-// started does nothing: ranks have no shares.
+// started does nothing, since ranks have neither shares nor ageing.
 func (*goalQueue) started(clock.Millis, Call) {}
 
-// finished takes the run time of a call.
+// finished adds the run time of c to the average of its rank.
 func (q *goalQueue) finished(c Call, took clock.Millis) {
-	average(&q.run[min(c.Rank, LastRank)], took)
+	updateAverage(&q.averageRun[min(c.Rank, LastRank)], took)
 }
 
-// next returns the instant at which a waiting call can no longer be answered in
-// time, or clock.Forever.
-func (q *goalQueue) next() clock.Millis {
+// nextExpiry returns the first instant from which on a waiting call can no longer end by
+// its deadline, or clock.Forever.
+func (q *goalQueue) nextExpiry() clock.Millis {
 	next := clock.Forever
 	for _, list := range q.lists {
 		for _, c := range list {
-			next = min(next, c.Deadline-q.expected(c.Rank))
+			next = min(next, c.Deadline-q.expectedRun(c.Rank))
 		}
 	}
 	for _, c := range q.late {
-		next = min(next, c.Deadline-q.expected(c.Rank))
+		next = min(next, c.Deadline-q.expectedRun(c.Rank))
 	}
 	return next
 }
@@ -178,48 +181,50 @@
 	return n
 }
 
-// has reports whether a call waits.
+// has reports whether the call with that id is queued.
 func (q *goalQueue) has(id ident.RequestID) bool {
-	is := func(c Call) bool { return c.ID == id }
+	matches := func(c Call) bool { return c.ID == id }
 	for _, list := range q.lists {
-		if slices.ContainsFunc(list, is) {
+		if slices.ContainsFunc(list, matches) {
 			return true
 		}
 	}
-	return slices.ContainsFunc(q.late, is)
+	return slices.ContainsFunc(q.late, matches)
 }
 
-// wait returns how long c would wait behind the calls that go before it. The slots
-// become free one run time apart, spread over the slots.
-func (q *goalQueue) wait(c Call) clock.Millis {
-	limit := q.gate.limit() - q.gate.occupied
+// expectedWait returns how long c would wait: the expected run times of the calls ahead
+// of it and one average run time for the running calls, divided by the slots.
+func (q *goalQueue) expectedWait(c Call) clock.Millis {
+	limit := q.gate.limit() - q.gate.announced
 	if limit <= 0 {
-		return 0 // announced slots free themselves; the deadline bounds the wait
+		return 0 // announced slots expire by themselves; the deadline bounds the wait
 	}
 	var work clock.Millis
 	for _, r := range q.gate.running {
-		work += q.expected(min(r.Rank, LastRank)) / clock.Millis(len(q.gate.running))
+		work += q.expectedRun(min(r.Rank, LastRank)) / clock.Millis(len(q.gate.running))
 	}
 	for rank := range c.Rank {
-		work += clock.Millis(len(q.lists[rank])) * q.expected(rank)
+		work += clock.Millis(len(q.lists[rank])) * q.expectedRun(rank)
 	}
-	own := 0
-	for own < len(q.lists[c.Rank]) && q.lists[c.Rank][own].goal() <= c.goal() {
-		own++
+	sameRank := 0
+	for sameRank < len(q.lists[c.Rank]) && q.lists[c.Rank][sameRank].effectiveGoal() <= c.effectiveGoal() {
+		sameRank++
 	}
-	return (work + clock.Millis(own)*q.expected(c.Rank)) / clock.Millis(limit)
+	return (work + clock.Millis(sameRank)*q.expectedRun(c.Rank)) / clock.Millis(limit)
 }
 
-// expected returns the expected run time of a rank.
-func (q *goalQueue) expected(rank Rank) clock.Millis {
-	if q.run[rank] > 0 {
-		return q.run[rank]
+// expectedRun returns the average run time of a rank, or RunMillis before its first call
+// has finished.
+func (q *goalQueue) expectedRun(rank Rank) clock.Millis {
+	if q.averageRun[rank] > 0 {
+		return q.averageRun[rank]
 	}
 	return q.gate.RunMillis
 }
 
-// goal returns the instant that orders a call within its rank.
-func (c *Call) goal() clock.Millis {
+// effectiveGoal returns Goal, or Deadline for a call without a goal. It orders the calls
+// of a rank.
+func (c *Call) effectiveGoal() clock.Millis {
 	if c.Goal > 0 {
 		return c.Goal
 	}
--- a/core/admit/goalqueue_test.go
+++ b/core/admit/goalqueue_test.go
@@ -13,28 +13,30 @@
 )
 
 const (
-	// loadSlots to loadGoal are those of the users' largest kind of request: a
-	// target of 6 slots, runs of 60 ms, a goal of 200 ms and a timeout of 800 ms.
+	// loadSlots to loadDeadline are the values of the users' largest kind of
+	// request: a target with 6 slots, a run time of 60 ms, a goal of 200 ms and a
+	// timeout of 800 ms.
 	loadSlots    = 6
 	loadRun      = 60 * clock.Millis(1)
 	loadGoal     = 200 * clock.Millis(1)
 	loadDeadline = 800 * clock.Millis(1)
 )
 
-// load counts what became of the calls of a rank.
-type load struct {
-	asked, inGoal, late, refused int
+// outcomes counts the calls of a rank by outcome.
+type outcomes struct {
+	arrived, inGoal, late, refused int
 }
 
-// replay sends an overload to a gate for a time and returns the outcomes by rank. The
-// factor is the offered work over the slots; every third call has the first rank.
-func replay(order Order, factor float64, length clock.Millis) map[Rank]*load {
+// replay simulates a gate under a constant load for length and returns the outcomes by
+// rank. The factor is the ratio of offered work to slots; every third call has rank 1, the
+// others have rank 3.
+func replay(order Order, factor float64, length clock.Millis) map[Rank]*outcomes {
 	random := rand.New(rand.NewPCG(3, 5))
 	g := &Gate{
 		Order: order, Slots: loadSlots, Connections: 130, QueueLength: 64,
 		AgeingMillis: 100, RunMillis: 10, OccupiedMillis: clock.Minute,
 	}
-	out := map[Rank]*load{1: {}, 3: {}}
+	out := map[Rank]*outcomes{1: {}, 3: {}}
 	type running struct {
 		call Call
 		took clock.Millis
@@ -42,7 +44,7 @@
 	}
 	var runs []running
 	calls := make(map[ident.RequestID]Call)
-	begun := make(map[ident.RequestID]clock.Millis)
+	arrivedAt := make(map[ident.RequestID]clock.Millis)
 	apply := func(now clock.Millis, actions []Action) {
 		for _, a := range actions {
 			c := calls[a.ID]
@@ -77,8 +79,8 @@
 			if len(calls)%3 == 0 {
 				c.Rank, c.Class = 1, model.Check
 			}
-			calls[id], begun[id] = c, now
-			out[c.Rank].asked++
+			calls[id], arrivedAt[id] = c, now
+			out[c.Rank].arrived++
 			apply(now, append([]Action(nil), g.Arrive(now, c)...))
 		}
 		if now >= g.Next() {
@@ -88,31 +90,30 @@
 	return out
 }
 
-// TestOverloadByGoal guards against the collapse of an overload that lasts: ordered
-// by class and deadline, the calls of the last rank wait until most of their time is
-// gone, and nearly all that are answered are late. It replays 40 s at 1.4 times the
-// capacity.
+// TestOverloadByGoal guards against a collapse of goodput under sustained overload: if
+// ordered by class and deadline, the calls of the last rank wait for most of their time,
+// and nearly all answers are late. It simulates 40 s at 1.4 times the capacity.
 func TestOverloadByGoal(t *testing.T) {
 	byClass, byGoal := replay(ByClass, 1.4, 40*clock.Second), replay(ByGoal, 1.4, 40*clock.Second)
-	plain, last, first := byClass[3], byGoal[3], byGoal[1]
-	if last.inGoal < 4*plain.inGoal {
-		t.Errorf("%+v by goal is not better than %+v by class", last, plain)
+	lastByClass, last, first := byClass[3], byGoal[3], byGoal[1]
+	if last.inGoal < 4*lastByClass.inGoal {
+		t.Errorf("%+v by goal is not better than %+v by class", last, lastByClass)
 	}
 	if last.late > last.inGoal/4 {
 		t.Errorf("by goal, %d are late and %d are not", last.late, last.inGoal)
 	}
-	served := func(l map[Rank]*load) int { return l[1].inGoal + l[1].late + l[3].inGoal + l[3].late }
+	served := func(o map[Rank]*outcomes) int { return o[1].inGoal + o[1].late + o[3].inGoal + o[3].late }
 	if served(byGoal) < served(byClass)*95/100 {
 		t.Errorf("slots are idle: %d by goal, %d by class", served(byGoal), served(byClass))
 	}
-	if first.refused > first.asked/100 || first.inGoal < first.asked*95/100 {
-		t.Errorf("the first rank has %+v", first)
+	if first.refused > first.arrived/100 || first.inGoal < first.arrived*95/100 {
+		t.Errorf("the first rank has the outcomes %+v", first)
 	}
 }
 
-// TestGoalQueueKeepsItsPromises guards against a call with no outcome or with two, a
-// start after the deadline, and a call that waits beside a free slot.
-func TestGoalQueueKeepsItsPromises(t *testing.T) {
+// TestGoalQueueInvariants guards against a call without an outcome or with two, a start
+// after the deadline, and a call that waits although a slot is free.
+func TestGoalQueueInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := &Gate{
 			Order: ByGoal, Slots: ident.Slots(rapid.IntRange(1, 4).Draw(t, "slots")), Connections: 9,
@@ -133,7 +134,7 @@
 				outcome[a.ID] = a.Kind
 				if a.Kind == Start {
 					if now >= calls[a.ID].Deadline {
-						t.Fatalf("%s is started after its deadline", a.ID)
+						t.Fatalf("%s was started after its deadline", a.ID)
 					}
 					running[a.ID] = true
 				}
@@ -163,7 +164,7 @@
 			}
 			apply(g.Tick(now))
 			if l := g.Load(); l.Free > 0 && l.Queued > 0 {
-				t.Fatalf("%d calls wait beside %d free slots", l.Queued, l.Free)
+				t.Fatalf("%d calls wait although %d slots are free", l.Queued, l.Free)
 			}
 		}
 		apply(g.Drain(now))
--- a/core/admit/load.go
+++ b/core/admit/load.go
@@ -1,11 +1,11 @@
-// Package admit provides the admission gate of a target: its slots, its queue and
-// its drain.
+// Package admit provides admission control for a target: concurrency limits, the queue
+// of waiting calls, and draining.
 package admit
 
-// Load is what a gate reports with each answer.
+// Load is the load that a gate reports with each response.
 type Load struct {
-	// Free is the number of free slots; never negative.
+	// Free is the number of free slots; never negative, 0 during a drain.
 	Free int
-	// Queued is the number of waiting requests.
+	// Queued is the number of waiting calls.
 	Queued int
 }
--- a/core/clock/clock.go
+++ b/core/clock/clock.go
@@ -6,20 +6,23 @@
 )
 
 type (
-	// Clock tells the current instant.
+	// Clock is a source of the current time.
 	Clock interface {
 		// Now returns the current instant in milliseconds since the Unix epoch.
 		Now() Millis
 	}
 
 	// System is the machine's clock. It is monotonic within a process, so a step
-	// of the wall clock does not move it.
+	// of the wall clock does not affect it.
 	System struct {
-		start     time.Time
-		startedAt Millis
+		// start and startMillis are the time of NewSystem; start has a monotonic
+		// reading.
+		start       time.Time
+		startMillis Millis
 	}
 
-	// Manual is a clock that tests move by hand. It is safe for concurrent use.
+	// Manual is a clock for tests that moves only when it is advanced. It is safe for
+	// concurrent use.
 	Manual struct {
 		mu sync.Mutex
 		// now never decreases.
@@ -30,20 +33,20 @@
 // NewSystem returns a clock that starts at the machine's wall time.
 func NewSystem() *System {
 	t := time.Now()
-	return &System{start: t, startedAt: FromTime(t)}
+	return &System{start: t, startMillis: FromTime(t)}
 }
 
 // Now returns the current instant.
 func (s *System) Now() Millis {
-	return s.startedAt + FromDuration(time.Since(s.start))
+	return s.startMillis + FromDuration(time.Since(s.start))
 }
 
-// NewManual returns a clock that shows now until it is advanced.
+// NewManual returns a clock that is set to now.
 func NewManual(now Millis) *Manual {
 	return &Manual{now: now}
 }
 
-// Now returns the instant that the clock was last set to.
+// Now returns the instant to which the clock was last set or advanced.
 func (m *Manual) Now() Millis {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/core/clock/millis.go
+++ b/core/clock/millis.go
@@ -1,4 +1,4 @@
-// Package clock provides the one time type of hickoryrail: milliseconds.
+// Package clock provides Millis, the only time type of hickoryrail, and its clocks.
 package clock
 
 import (
@@ -7,7 +7,7 @@
 )
 
 // Millis is an instant or a duration in milliseconds. An instant counts from
-// the Unix epoch; fractions carry sub-millisecond delays.
+// the Unix epoch; fractions represent sub-millisecond durations.
 type Millis float64
 
 const (
--- a/core/ident/ident.go
+++ b/core/ident/ident.go
@@ -8,10 +8,10 @@
 )
 
 type (
-	// NodeID names a node, one hickoryrail process beside a target. It is the
-	// slot's name and stays the same when the process is replaced.
+	// NodeID identifies a node, one hickoryrail process beside a target. It names the
+	// deployment slot, so it stays the same when the process is replaced.
 	NodeID string
-	// TargetID names a target.
+	// TargetID identifies a target.
 	TargetID string
 	// ServiceName names a service, a set of interchangeable targets.
 	ServiceName string
@@ -21,27 +21,28 @@
 	Region string
 	// RouteName names a route in the rules.
 	RouteName string
-	// EditID names an operator's edit; the submitter chooses it at random.
+	// EditID identifies an operator's edit; the submitter chooses it at random.
 	EditID string
-	// RequestID names one submission of one request.
+	// RequestID identifies one submission of one request.
 	RequestID string
-	// CallerID names a caller for idempotency keys and logs.
+	// CallerID identifies a caller in idempotency keys and logs.
 	CallerID string
 
-	// Version numbers accepted releases from 1; 0 means no release.
+	// Version is the number of an accepted release, counted from 1; 0 means no release.
 	Version uint64
-	// Incarnation orders the lives of a node; a restart takes a larger one.
+	// Incarnation orders the runs of a node or gate between restarts; each restart uses
+	// a larger one.
 	Incarnation uint64
-	// Epoch counts the holders of a lease.
+	// Epoch numbers the successive holders of a lease.
 	Epoch uint64
-	// Revision counts the writes of a table row; 0 means the row is absent.
+	// Revision counts the writes to a table row; 0 means that the row is absent.
 	Revision uint64
 
-	// Slots counts requests that a target runs at the same time.
+	// Slots is a number of requests that a target runs at the same time.
 	Slots int
-	// Connections counts transport connections.
+	// Connections is a number of transport connections.
 	Connections int
-	// Bytes counts bytes.
+	// Bytes is a size in bytes.
 	Bytes int64
 
 	// Digest is a SHA-256 sum.
--- a/core/limit/limiter.go
+++ b/core/limit/limiter.go
@@ -1,4 +1,4 @@
-// Package limit decides whether a caller may send another request.
+// Package limit limits the request rate of each caller.
 package limit
 
 import (
@@ -8,44 +8,45 @@
 )
 
 const (
-	// DefaultMaxCallers stands for a MaxCallers of 0.
+	// DefaultMaxCallers is used if MaxCallers is 0.
 	DefaultMaxCallers = 4096
-	// burstSeconds is the time whose requests a caller may send at once.
+	// burstSeconds is the size of a burst, in seconds of requests at PerSecond.
 	burstSeconds = 1
 )
 
 type (
-	// Limiter is a token bucket per caller, which K names. It is not safe for
-	// concurrent use.
+	// Limiter holds a token bucket for each caller, identified by a K. It is not safe
+	// for concurrent use.
 	Limiter[K comparable] struct {
-		// PerSecond is the rate of one caller; above 0.
+		// PerSecond is the allowed rate of one caller; above 0.
 		PerSecond float64
-		// MaxCallers bounds the callers that are remembered. The one that was
-		// idle for the longest time is forgotten first, and starts again with a
-		// full bucket.
+		// MaxCallers bounds the callers that are tracked. The one that was idle for
+		// the longest time is evicted first, and starts with a full bucket if it
+		// returns.
 		MaxCallers int
 
+		// buckets holds the element in recent of each caller.
 		buckets map[K]*list.Element
-		// recent holds the buckets, the latest used first; each is in buckets.
+		// recent holds the buckets, the most recently used first; each is in buckets.
 		recent list.List
 	}
 
 	// bucket holds the tokens of one caller.
 	bucket[K comparable] struct {
 		caller K
-		// tokens is from 0 to one burst.
-		tokens   float64
-		filledAt clock.Millis
+		// tokens is between 0 and the size of a burst.
+		tokens     float64
+		refilledAt clock.Millis
 	}
 )
 
-// Allow takes a token of the caller and reports whether there was one. A step of
-// the clock backwards adds no tokens.
+// Allow takes a token from the caller's bucket and reports whether one was available. A
+// backward step of the clock adds no tokens.
 func (l *Limiter[K]) Allow(now clock.Millis, caller K) bool {
 	b := l.bucket(now, caller)
-	if now > b.filledAt {
-		b.tokens = min(b.tokens+l.PerSecond*float64((now-b.filledAt)/clock.Second), l.burst())
-		b.filledAt = now
+	if now > b.refilledAt {
+		b.tokens = min(b.tokens+l.PerSecond*float64((now-b.refilledAt)/clock.Second), l.burst())
+		b.refilledAt = now
 	}
 	if b.tokens < 1 {
 		return false
@@ -54,12 +55,13 @@
 	return true
 }
 
-// Callers returns the number of callers that are remembered.
+// Callers returns the number of tracked callers.
 func (l *Limiter[K]) Callers() int {
 	return len(l.buckets)
 }
 
-// bucket returns the caller's bucket, a full one for a new caller.
+// bucket returns the caller's bucket. It creates a full one for a new caller, and evicts
+// the least recently used one if there are too many.
 func (l *Limiter[K]) bucket(now clock.Millis, caller K) *bucket[K] {
 	if l.buckets == nil {
 		l.buckets = make(map[K]*list.Element)
@@ -69,15 +71,15 @@
 		return e.Value.(*bucket[K])
 	}
 	if len(l.buckets) >= l.maxCallers() {
-		oldest := l.recent.Remove(l.recent.Back()).(*bucket[K])
-		delete(l.buckets, oldest.caller)
+		evicted := l.recent.Remove(l.recent.Back()).(*bucket[K])
+		delete(l.buckets, evicted.caller)
 	}
-	b := &bucket[K]{caller: caller, tokens: l.burst(), filledAt: now}
+	b := &bucket[K]{caller: caller, tokens: l.burst(), refilledAt: now}
 	l.buckets[caller] = l.recent.PushFront(b)
 	return b
 }
 
-// burst returns the size of a bucket; at least one request passes.
+// burst returns the capacity of a bucket, at least 1 so that a request can pass.
 func (l *Limiter[K]) burst() float64 {
 	return max(l.PerSecond*burstSeconds, 1)
 }
--- a/core/limit/limiter_test.go
+++ b/core/limit/limiter_test.go
@@ -18,8 +18,9 @@
 	}
 }
 
-// TestRateIsBounded guards against a caller that gets more than a burst and its
-// rate, against one that pays for another, and against unbounded memory.
+// TestRateIsBounded guards against a caller that is allowed more requests than a burst
+// plus its rate, against charging one caller for the requests of another, and against an
+// unbounded number of tracked callers.
 func TestRateIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := &Limiter[ident.CallerID]{PerSecond: float64(rapid.IntRange(1, 50).Draw(t, "rate")), MaxCallers: 4}
@@ -33,20 +34,20 @@
 			}
 		}
 		for caller, n := range allowed {
-			// The clock may have gone back by 5 ms at each of 300 calls.
+			// The clock may have stepped back by 5 ms before each of 300 calls.
 			bound := l.burst() + l.PerSecond*float64((now+1500)/clock.Second)
 			if float64(n) > bound {
-				t.Fatalf("caller %s got %d of %v", caller, n, bound)
+				t.Fatalf("caller %s was allowed %d requests, want at most %v", caller, n, bound)
 			}
 		}
 		if l.Callers() > 4 {
-			t.Fatalf("%d callers are remembered", l.Callers())
+			t.Fatalf("%d callers are tracked, want at most 4", l.Callers())
 		}
 	})
 }
 
-// TestIdleCallerIsForgotten guards against a table that new callers cannot enter.
-func TestIdleCallerIsForgotten(t *testing.T) {
+// TestIdleCallerIsEvicted guards against refusing new callers when the table is full.
+func TestIdleCallerIsEvicted(t *testing.T) {
 	is := is.New(t)
 	l := &Limiter[ident.CallerID]{PerSecond: 1, MaxCallers: 2}
 	is.True(l.Allow(0, "a"))
--- a/core/option/option.go
+++ b/core/option/option.go
@@ -1,10 +1,10 @@
 // Package option provides a value that may be absent.
 package option
 
-// Option holds a value or nothing. The zero value holds nothing.
+// Option holds a value or no value. The zero value holds none.
 type Option[T any] struct {
 	value T
-	// ok is false exactly when value is the zero value of an absent option.
+	// ok reports whether value is present; if not, value is the zero value of T.
 	ok bool
 }
 
@@ -13,12 +13,12 @@
 	return Option[T]{value: v, ok: true}
 }
 
-// None returns an option that holds nothing.
+// None returns an option without a value.
 func None[T any]() Option[T] {
 	return Option[T]{}
 }
 
-// Get returns the value and whether there is one.
+// Get returns the value and whether it is present.
 func (o Option[T]) Get() (T, bool) {
 	return o.value, o.ok
 }
@@ -31,7 +31,7 @@
 	return other
 }
 
-// IsSome reports whether there is a value.
+// IsSome reports whether a value is present.
 func (o Option[T]) IsSome() bool {
 	return o.ok
 }
--- a/core/paths/paths.go
+++ b/core/paths/paths.go
@@ -1,47 +1,49 @@
-// Package paths explores all choices that a small model can make, for tests that
-// check a protocol in every order of events to a bounded depth.
+// Package paths enumerates all choice sequences of a small model, for tests that check a
+// protocol under every order of events up to a bounded depth.
 package paths
 
-// Chooser makes the choices of one run of a model.
+// Chooser makes the choices of each run of a model.
 type Chooser struct {
-	// taken are the choices of this run, and counts how many each had.
-	taken, counts []int
-	// next is the position of the next choice, and replayed the number of choices that
-	// are the same as in an earlier run.
+	// choices holds the choices of this run, and alternatives the number of values that
+	// each could have.
+	choices, alternatives []int
+	// next is the index of the next choice, and replayed the number of choices that
+	// this run was started with.
 	next, replayed int
-	seen           map[string]struct{}
+	// seen holds the states that some run has reached.
+	seen map[string]struct{}
 }
 
-// Choose returns a number from 0 to n-1; each one is taken in some run. n is at least
-// 1 and depends on the earlier choices only.
+// Choose returns a number from 0 to n-1; over all runs, it returns each of them. n must
+// be at least 1 and depend on the earlier choices only.
 func (c *Chooser) Choose(n int) int {
-	if c.next == len(c.taken) {
-		c.taken, c.counts = append(c.taken, 0), append(c.counts, n)
+	if c.next == len(c.choices) {
+		c.choices, c.alternatives = append(c.choices, 0), append(c.alternatives, n)
 	}
 	c.next++
-	return c.taken[c.next-1]
+	return c.choices[c.next-1]
 }
 
-// Seen reports whether another path led to the same state, so that the run may end
-// here. A state says everything that later choices and checks depend on.
+// Seen reports whether another path has reached the same state, so that the run may end
+// here. The state must contain everything that later choices and checks depend on.
 func (c *Chooser) Seen(state func() string) bool {
 	if c.next < c.replayed {
-		return false // the way to where this run leaves an earlier one
+		return false // an earlier run recorded this state after the same choices
 	}
-	s := state()
-	if _, ok := c.seen[s]; ok {
+	key := state()
+	if _, ok := c.seen[key]; ok {
 		return true
 	}
-	c.seen[s] = struct{}{}
+	c.seen[key] = struct{}{}
 	return false
 }
 
-// Explore calls run once for each path and returns the number of runs and of states.
-// It ends early if run returns false.
+// Explore calls run once for each path, in depth-first order, and returns the number of
+// runs and of distinct states. It ends early if run returns false.
 func Explore(run func(c *Chooser) bool) (runs, states int) {
 	c := &Chooser{seen: make(map[string]struct{})}
 	for {
-		c.next, c.replayed = 0, len(c.taken)
+		c.next, c.replayed = 0, len(c.choices)
 		runs++
 		if !run(c) || !c.advance() {
 			return runs, len(c.seen)
@@ -49,14 +51,14 @@
 	}
 }
 
-// advance turns to the next path; false if there is none.
+// advance selects the next path and reports whether there is one.
 func (c *Chooser) advance() bool {
-	for last := len(c.taken) - 1; last >= 0; last-- {
-		if c.taken[last]+1 < c.counts[last] {
-			c.taken[last]++
+	for last := len(c.choices) - 1; last >= 0; last-- {
+		if c.choices[last]+1 < c.alternatives[last] {
+			c.choices[last]++
 			return true
 		}
-		c.taken, c.counts = c.taken[:last], c.counts[:last]
+		c.choices, c.alternatives = c.choices[:last], c.alternatives[:last]
 	}
 	return false
 }
--- a/core/paths/paths_test.go
+++ b/core/paths/paths_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// TestExplore guards against paths that are left out or taken twice, and against
-// states that are explored again.
+// TestExplore guards against paths that are skipped or run twice, and against exploring a
+// state again.
 func TestExplore(t *testing.T) {
 	is := is.New(t)
 	found := make(map[string]int)
--- a/core/route/picker.go
+++ b/core/route/picker.go
@@ -178,7 +178,7 @@
 				e.started = now - p.Limits.SlowStartMillis
 			}
 			p.targets[t.ID] = e
-		case e.target.Gate != t.Gate:
+		case e.target.GateIncarnation != t.GateIncarnation:
 			e.restart(now)
 		}
 		e.target, e.group, e.present, e.leftAt = t, g, true, clock.Forever
@@ -322,7 +322,7 @@
 	}
 	e.inFlight--
 	e.quietSince = now
-	if !e.present || (o.Gate != 0 && o.Gate != e.target.Gate) {
+	if !e.present || (o.Gate != 0 && o.Gate != e.target.GateIncarnation) {
 		return
 	}
 	if o.HasLoad {
--- a/core/route/picker_property_test.go
+++ b/core/route/picker_property_test.go
@@ -108,7 +108,7 @@
 		t.Fatalf("excluded target %s was chosen", c.Target.ID)
 	}
 	for _, r := range records {
-		if r.Target == c.Target.ID && r.GateIncarnation == c.Target.Gate {
+		if r.Target == c.Target.ID && r.GateIncarnation == c.Target.GateIncarnation {
 			return
 		}
 	}
--- a/core/sets/set.go
+++ b/core/sets/set.go
@@ -33,7 +33,7 @@
 	return ok
 }
 
-// Remove deletes v.
+// Remove deletes v if it is in the set.
 func (s Set[T]) Remove(v T) {
 	delete(s, v)
 }
--- a/core/view/index.go
+++ b/core/view/index.go
@@ -11,24 +11,25 @@
 )
 
 type (
-	// Index is a release with its routes arranged for lookup. It never changes, and
-	// serves all views of the release.
+	// Index is a release with its routes indexed by host and path prefix. It is
+	// immutable and shared by all views of the release.
 	Index struct {
 		release model.Release
-		// hosts has the routes of each host; the empty host has those without one.
+		// hosts maps each host to its routes, and the empty host to the routes without
+		// a host.
 		hosts map[string]hostRoutes
 	}
 
-	// hostRoutes are the routes of one host.
+	// hostRoutes holds the routes of one host.
 	hostRoutes struct {
-		// byPrefix leads from a path prefix to its route in the release.
+		// byPrefix maps a path prefix to its route in the release.
 		byPrefix map[string]*model.Route
-		// longest is the length of the longest prefix in bytes.
-		longest int
+		// longestPrefix is the length of the longest prefix in bytes.
+		longestPrefix int
 	}
 )
 
-// NewIndex arranges the routes of a release.
+// NewIndex returns the index of a release.
 func NewIndex(r model.Release) *Index {
 	x := &Index{release: r, hosts: make(map[string]hostRoutes)}
 	routes := r.Configuration.Rules.Routes
@@ -38,14 +39,14 @@
 			h.byPrefix = make(map[string]*model.Route, len(routes))
 		}
 		h.byPrefix[routes[i].PathPrefix] = &routes[i]
-		h.longest = max(h.longest, len(routes[i].PathPrefix))
+		h.longestPrefix = max(h.longestPrefix, len(routes[i].PathPrefix))
 		x.hosts[routes[i].Host] = h
 	}
 	return x
 }
 
-// Join returns the view of the release with the targets in the members' records.
-// Targets of services that the release lacks are left out.
+// Join returns the view of the release with the routable targets of the members'
+// records. Targets whose service is not in the release are left out.
 func (x *Index) Join(records []member.Record) *View {
 	v := &View{index: x, targets: make(map[ident.ServiceName][]Target)}
 	for _, s := range x.release.Configuration.Inventory.Services {
@@ -63,25 +64,26 @@
 	return v
 }
 
-// route returns the route of a host with the longest prefix that covers path.
+// route returns the route of host with the longest prefix that matches path, or nil. A
+// host without routes uses the routes without a host.
 func (x *Index) route(host, path string) *model.Route {
 	h, ok := x.hosts[strings.ToLower(host)]
 	if !ok {
 		h = x.hosts[""]
 	}
-	return h.covering(path)
+	return h.longestMatch(path)
 }
 
-// covering returns the route with the longest prefix that covers path up to a
-// segment's end, or nil. Only as many bytes as the longest prefix has are looked
-// at, so that a path with many slashes costs no more.
-func (h *hostRoutes) covering(path string) *model.Route {
-	if len(path) <= h.longest {
+// longestMatch returns the route with the longest prefix that matches path up to the end
+// of a segment, or nil. It reads no more bytes than the longest prefix has, so that a
+// long path with many slashes costs no more.
+func (h *hostRoutes) longestMatch(path string) *model.Route {
+	if len(path) <= h.longestPrefix {
 		if r := h.byPrefix[path]; r != nil {
 			return r
 		}
 	}
-	for end := min(len(path)-1, h.longest); end >= 0; end-- {
+	for end := min(len(path)-1, h.longestPrefix); end >= 0; end-- {
 		if path[end] != '/' {
 			continue
 		}
--- a/core/view/view.go
+++ b/core/view/view.go
@@ -1,4 +1,5 @@
-// Package view provides the immutable join of a release with the live targets.
+// Package view joins a release with the routable targets of its services into an
+// immutable view.
 package view
 
 import (
@@ -12,28 +13,30 @@
 )
 
 type (
-	// Target is a target that takes requests, and the node beside it.
+	// Target is a target that accepts requests, with the node beside it.
 	Target struct {
 		ID            ident.TargetID
 		Node          ident.NodeID
 		Address       string
 		FailureDomain ident.FailureDomain
 		Region        ident.Region
-		// Gate names the life of the admission gate that requests are addressed to.
-		Gate ident.Incarnation
+		// GateIncarnation is the incarnation of the admission gate to which requests
+		// are addressed.
+		GateIncarnation ident.Incarnation
 	}
 
-	// View is one release with the targets of its services. It never changes, so
-	// it can be read without a lock. Every route's service has an entry in
-	// targets, which may be empty.
+	// View is one release with the targets of its services. It is immutable, so it can
+	// be read without a lock.
 	View struct {
-		index   *Index
+		index *Index
+		// targets has an entry, which may be empty, for every service of the release
+		// and so for the service of every route.
 		targets map[ident.ServiceName][]Target
 	}
 )
 
-// Build joins a release with the members' records. Who builds several views of one
-// release keeps its Index instead.
+// Build joins a release with the members' records. To build several views of one
+// release, call NewIndex once and Join for each view.
 func Build(r model.Release, records []member.Record) *View {
 	return NewIndex(r).Join(records)
 }
@@ -42,7 +45,7 @@
 func targetOf(m *member.Record) Target {
 	return Target{
 		ID: m.Target, Node: m.Node, Address: m.PeerAddress,
-		FailureDomain: m.FailureDomain, Region: m.Region, Gate: m.GateIncarnation,
+		FailureDomain: m.FailureDomain, Region: m.Region, GateIncarnation: m.GateIncarnation,
 	}
 }
 
@@ -56,9 +59,9 @@
 	return v.index.release
 }
 
-// Route returns the route of host, which may have a port, with the longest prefix
-// of path. A prefix matches whole path segments only. A host without routes of its
-// own has those without a host.
+// Route returns the route of host with the longest prefix that matches path. The host
+// may include a port. A prefix matches whole path segments only. A host without routes of
+// its own uses the routes without a host.
 func (v *View) Route(host, path string) (model.Route, bool) {
 	if name, _, ok := strings.Cut(host, ":"); ok {
 		host = name
--- a/core/view/view_test.go
+++ b/core/view/view_test.go
@@ -46,7 +46,8 @@
 	return r
 }
 
-// drawRecords returns records of nodes whose targets may be of any service.
+// drawRecords returns records of nodes whose targets belong to services in the release
+// or to others.
 func drawRecords(t *rapid.T) []member.Record {
 	records := make([]member.Record, rapid.IntRange(0, 12).Draw(t, "members"))
 	for i := range records {
@@ -60,16 +61,16 @@
 	return records
 }
 
-// TestRoutesNameWhatTheViewHas guards against a route to a service that the view
-// lacks, a target of another service or one that takes no requests, and a target
-// that is left out.
-func TestRoutesNameWhatTheViewHas(t *testing.T) {
+// TestViewMatchesReleaseAndRecords guards against a route to a service that is missing in
+// the view, a target under the wrong service, a target that accepts no requests, and a
+// missing target.
+func TestViewMatchesReleaseAndRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		release, records := drawRelease(t), drawRecords(t)
 		v := Build(release, records)
 		for _, r := range release.Configuration.Rules.Routes {
 			if _, ok := v.Service(r.Service); !ok {
-				t.Fatalf("route %s names service %s, which the view lacks", r.Name, r.Service)
+				t.Fatalf("route %s names service %s, which is not in the view", r.Name, r.Service)
 			}
 		}
 		want := make(map[ident.TargetID]ident.ServiceName)
@@ -82,19 +83,19 @@
 			name := ident.ServiceName(fmt.Sprint("s", i))
 			for _, target := range v.Targets(name) {
 				if want[target.ID] != name {
-					t.Fatalf("target %s stands under service %s", target.ID, name)
+					t.Fatalf("target %s is listed under service %s", target.ID, name)
 				}
 				delete(want, target.ID)
 			}
 		}
 		if len(want) > 0 {
-			t.Fatalf("targets %v are left out", want)
+			t.Fatalf("targets %v are missing", want)
 		}
 	})
 }
 
-// TestLongestPrefixWins guards against a request that takes another route than the
-// longest prefix that ends at a segment.
+// TestLongestPrefixWins guards against choosing another route than the one with the
+// longest prefix that ends at the end of a segment.
 func TestLongestPrefixWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		release := drawRelease(t)
@@ -102,14 +103,14 @@
 		path := "/" + strings.Join(rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c", "ab", ""}), 0, 3).Draw(t, "path"), "/")
 		var want model.Route
 		for _, r := range release.Configuration.Rules.Routes {
-			covers := path == r.PathPrefix || strings.HasPrefix(path, strings.TrimSuffix(r.PathPrefix, "/")+"/")
-			if covers && len(r.PathPrefix) > len(want.PathPrefix) {
+			matches := path == r.PathPrefix || strings.HasPrefix(path, strings.TrimSuffix(r.PathPrefix, "/")+"/")
+			if matches && len(r.PathPrefix) > len(want.PathPrefix) {
 				want = r
 			}
 		}
 		got, ok := v.Route("", path)
 		if ok != (want.Name != "") || got.Name != want.Name {
-			t.Fatalf("path %s takes route %q, want %q", path, got.Name, want.Name)
+			t.Fatalf("path %s matched route %q, want %q", path, got.Name, want.Name)
 		}
 	})
 }
--- a/io/bench/stall.go
+++ b/io/bench/stall.go
@@ -29,7 +29,7 @@
 // silence is one connection that goes silent at instant 0.
 type silence struct {
 	agenda
-	watch *stall.Watch
+	watch *stall.Detector
 	// open is the connection in use; 1 is the silent one.
 	open stall.ConnectionID
 	// firstGood is the instant of the first good answer.
@@ -48,7 +48,7 @@
 	t := NewTable(fmt.Sprintf("silent connection, %d runs, idle timeout %s, seed %d", runs, idleTimeout, stallSeed),
 		"calls/s", "detection", "p50 ms to the first good call", "p99 ms", "calls lost per run")
 	for _, rate := range []float64{1, 10, 100} {
-		for _, w := range []*stall.Watch{
+		for _, w := range []*stall.Detector{
 			// The second watch has the defaults of the settings.
 			nil, {ProbeMillis: 1000, GiveUpMillis: 1000}, {ProbeMillis: 250, GiveUpMillis: 500}, {ProbeMillis: 100, GiveUpMillis: 200}, {ProbeMillis: 50, GiveUpMillis: 100},
 		} {
@@ -73,10 +73,10 @@
 }
 
 // newSilence returns a run that starts at the silence.
-func newSilence(w *stall.Watch, rate float64, random *rand.Rand) *silence {
+func newSilence(w *stall.Detector, rate float64, random *rand.Rand) *silence {
 	s := &silence{open: 1}
 	if w != nil {
-		s.watch = &stall.Watch{ProbeMillis: w.ProbeMillis, GiveUpMillis: w.GiveUpMillis}
+		s.watch = &stall.Detector{ProbeMillis: w.ProbeMillis, GiveUpMillis: w.GiveUpMillis}
 		s.at(stallTick*clock.Millis(random.Float64()), s.tick)
 	} else {
 		s.at(idleTimeout, func() { s.open = 2 })
--- a/io/logs/filter.go
+++ b/io/logs/filter.go
@@ -54,7 +54,7 @@
 	switch {
 	case d.Kind == Answer:
 		return d.Verdict != result.Ran || d.Status >= failureStatus
-	case d.Reason == admit.ReasonBusy:
+	case d.Reason == admit.ReasonNoFreeSlot:
 		return false // the call goes on looking at other targets
 	}
 	return d.Kind >= Retry || d.Verdict == result.NotRun
--- a/io/node/stalls.go
+++ b/io/node/stalls.go
@@ -32,7 +32,7 @@
 
 	// mu guards watch and nodes.
 	mu    sync.Mutex
-	watch stall.Watch
+	watch stall.Detector
 	// nodes has an entry for each open connection.
 	nodes map[peer.ConnectionID]ident.NodeID
 	// calls counts the calls outstanding per connection.
@@ -43,7 +43,7 @@
 func newStalls(c clock.Clock, probe, giveUp clock.Millis, log logs.Sink) *stalls {
 	return &stalls{
 		clock: c, log: log, giveUp: giveUp,
-		watch: stall.Watch{ProbeMillis: probe, GiveUpMillis: giveUp},
+		watch: stall.Detector{ProbeMillis: probe, GiveUpMillis: giveUp},
 		nodes: make(map[peer.ConnectionID]ident.NodeID),
 		calls: make(map[peer.ConnectionID]int),
 	}
--- a/io/proxy/attempt.go
+++ b/io/proxy/attempt.go
@@ -102,7 +102,7 @@
 	r.ID = ident.RequestID(c.id + "-" + strconv.Itoa(number))
 	r.Repeated = c.repeated || c.state.Arrivals > 0
 	r.Looks = in.looks(c)
-	r.Gate, r.Target, r.Attempt = choice.Target.Gate, choice.Target.ID, number
+	r.Gate, r.Target, r.Attempt = choice.Target.GateIncarnation, choice.Target.ID, number
 	left := c.deadline - sent
 	r.RemainingMillis = max(left-min(hopMillis, left*hopShare), 0)
 	if r.HasGoal {
@@ -116,7 +116,7 @@
 		resp, err = in.send(ctx, choice.Target, &r)
 	}
 	now := in.Clock.Now()
-	o := route.Outcome{Delay: now - sent, Gate: choice.Target.Gate}
+	o := route.Outcome{Delay: now - sent, Gate: choice.Target.GateIncarnation}
 	if err != nil {
 		// A call that this node gave up says nothing about its target.
 		o.Failed = ctx.Err() == nil || now >= c.deadline
@@ -129,7 +129,7 @@
 	in.mu.Lock()
 	in.Picker.Done(now, choice.Target.ID, o)
 	if r.Looks && o.Verdict != result.MayHaveRun {
-		in.Search.Looked(c.route.Service, resp.Reason != admit.ReasonBusy)
+		in.Search.Looked(c.route.Service, resp.Reason != admit.ReasonNoFreeSlot)
 	}
 	in.drainEvents()
 	in.mu.Unlock()
--- a/io/proxy/forward.go
+++ b/io/proxy/forward.go
@@ -151,7 +151,7 @@
 	switch {
 	case resp.Arrived || resp.Verdict != result.NotRun:
 		c.state.Arrivals++
-	case resp.Reason == admit.ReasonBusy:
+	case resp.Reason == admit.ReasonNoFreeSlot:
 		c.state.Looks++
 	}
 	in.mu.Lock()
@@ -162,7 +162,7 @@
 		d = in.Policy.Decide(now, c.state, resp.Verdict)
 	}
 	in.mu.Unlock()
-	looks := resp.Reason == admit.ReasonBusy && d.Kind == retry.Retry
+	looks := resp.Reason == admit.ReasonNoFreeSlot && d.Kind == retry.Retry
 	if !looks && (resp.Verdict != result.Ran || d.Kind == retry.Retry) {
 		in.record(logs.Retry, now, c, c.state.Sent, "", resp.Verdict, d.Reason)
 	}
--- a/io/proxy/gatecall.go
+++ b/io/proxy/gatecall.go
@@ -35,7 +35,7 @@
 	if r.CallerID != "" {
 		g.running[r.CallerID] = c
 	}
-	call := admit.Call{ID: r.ID, Class: r.Class, Rank: r.Rank, Deadline: deadline, Looks: r.Looks}
+	call := admit.Call{ID: r.ID, Class: r.Class, Rank: r.Rank, Deadline: deadline, FailFast: r.Looks}
 	if r.HasGoal {
 		call.Goal = now + r.GoalMillis
 	}
@@ -115,7 +115,7 @@
 		v := result.MayHaveRun
 		if a.Kind == admit.Refuse {
 			v = result.NotRun
-			if a.Reason != admit.ReasonBusy {
+			if a.Reason != admit.ReasonNoFreeSlot {
 				g.metrics.refused[c.request.Class].Inc()
 			}
 		} else {
--- a/io/proxy/ingress.go
+++ b/io/proxy/ingress.go
@@ -128,7 +128,7 @@
 		mu    sync.Mutex
 		split route.Split
 		// patience is kept by route.
-		patience admit.Patience[ident.RouteName]
+		patience admit.WaitEstimator[ident.RouteName]
 		events   []route.Event
 	}
 )
--- a/io/proxy/request.go
+++ b/io/proxy/request.go
@@ -38,7 +38,7 @@
 	h := &ctx.Request.Header
 	in.mu.Lock()
 	r.Service = in.split.Next(&r)
-	waited := in.patience.Waited(now, r.Name, left)
+	waited := in.patience.Observe(now, r.Name, left)
 	in.mu.Unlock()
 	c := &call{
 		ctx: caller, view: v, route: r, began: now - waited, timeout: timeout, deadline: now + timeout, id: in.nextID(),
