--- a/core/admit/gate_test.go
+++ b/core/admit/gate_test.go
@@ -27,7 +27,8 @@
 		t    *rapid.T
 		gate *Gate
 		now  clock.Millis
-		next int
+		// lastID is the number of the last call that arrived.
+		lastID int
 		// calls holds every call that arrived, by id.
 		calls map[ident.RequestID]*trackedCall
 		// waiting and running are the ids in each state.
@@ -145,8 +146,8 @@
 
 // arrive sends a new call to the gate.
 func (o *oracle) arrive(class model.Class, timeout clock.Millis) {
-	o.next++
-	c := &trackedCall{Call: Call{ID: ident.RequestID(fmt.Sprint(o.next)), Class: class, Deadline: o.now + timeout}, arrived: o.now}
+	o.lastID++
+	c := &trackedCall{Call: Call{ID: ident.RequestID(fmt.Sprint(o.lastID)), Class: class, Deadline: o.now + timeout}, arrived: o.now}
 	o.calls[c.ID] = c
 	if o.waitingIn(class) == 0 {
 		o.passedOverSince[class] = o.now
@@ -245,8 +246,8 @@
 	if c := o.calls[id]; c != nil {
 		return Call{ID: id, Class: c.Class, Deadline: o.now + 1000}
 	}
-	o.next++
-	id = ident.RequestID(fmt.Sprint(o.next))
+	o.lastID++
+	id = ident.RequestID(fmt.Sprint(o.lastID))
 	o.calls[id] = &trackedCall{Call: Call{ID: id, Deadline: o.now}}
 	return o.calls[id].Call
 }
@@ -300,7 +301,7 @@
 		for o.now < last {
 			for credit += 3 * float64(limit) / float64(run); credit >= 1; credit-- {
 				// Two thirds of the calls have the class of highest priority.
-				o.arrive(model.Class(max(0, o.next%9-6)), 5000)
+				o.arrive(model.Class(max(0, o.lastID%9-6)), 5000)
 			}
 			step()
 		}
--- a/core/admit/goalqueue_test.go
+++ b/core/admit/goalqueue_test.go
@@ -27,10 +27,10 @@
 	arrived, inGoal, late, refused int
 }
 
-// replay simulates a gate under a constant load for length and returns the outcomes by
+// simulate runs a gate under a constant load for length and returns the outcomes by
 // rank. The factor is the ratio of offered work to slots; every third call has rank 1, the
 // others have rank 3.
-func replay(order Order, factor float64, length clock.Millis) map[Rank]*outcomes {
+func simulate(order Order, factor float64, length clock.Millis) map[Rank]*outcomes {
 	random := rand.New(rand.NewPCG(3, 5))
 	g := &Gate{
 		Order: order, Slots: loadSlots, Connections: 130, QueueLength: 64,
@@ -94,7 +94,7 @@
 // ordered by class and deadline, the calls of the last rank wait for most of their time,
 // and nearly all answers are late. It simulates 40 s at 1.4 times the capacity.
 func TestOverloadByGoal(t *testing.T) {
-	byClass, byGoal := replay(ByClass, 1.4, 40*clock.Second), replay(ByGoal, 1.4, 40*clock.Second)
+	byClass, byGoal := simulate(ByClass, 1.4, 40*clock.Second), simulate(ByGoal, 1.4, 40*clock.Second)
 	lastByClass, last, first := byClass[3], byGoal[3], byGoal[1]
 	if last.inGoal < 4*lastByClass.inGoal {
 		t.Errorf("%+v by goal is not better than %+v by class", last, lastByClass)
