--- a/core/spread/announce.go
+++ b/core/spread/announce.go
@@ -8,93 +8,96 @@
 	"hickoryrail/core/ident"
 )
 
-// ReaderPulse counts a heartbeat of the own region's reader. The reader calls it
-// after each successful poll of the source.
-func (n *Node) ReaderPulse(now clock.Millis, region ident.Region, epoch ident.Epoch) []Action {
-	s := n.pulses[region]
-	next := Pulse{Region: region, Epoch: epoch, Count: 1}
-	if s.pulse.Epoch == epoch {
-		next.Count = s.pulse.Count + 1
+// ReaderHeartbeat records a heartbeat of the reader on this node and announces it if
+// an announcement is due. The reader calls it after each successful poll of the source.
+func (n *Node) ReaderHeartbeat(now clock.Millis, region ident.Region, epoch ident.Epoch) []Action {
+	s := n.heartbeats[region]
+	next := Heartbeat{Region: region, Epoch: epoch, Count: 1}
+	if s.heartbeat.Epoch == epoch {
+		next.Count = s.heartbeat.Count + 1
 	}
-	if !next.newer(s.pulse) {
+	if !next.newer(s.heartbeat) {
 		return nil
 	}
-	n.pulses[region] = pulseState{pulse: next, at: now}
+	n.heartbeats[region] = heartbeatState{heartbeat: next, progressAt: now}
 	return n.announceDue(now)
 }
 
-// PulseAge returns the time since the pulse of a region's reader last made
-// progress, or Forever if there was none.
-func (n *Node) PulseAge(now clock.Millis, region ident.Region) clock.Millis {
-	s, ok := n.pulses[region]
+// HeartbeatAge returns the time since the node learned the latest heartbeat of a
+// region's reader, or Forever if it knows none.
+func (n *Node) HeartbeatAge(now clock.Millis, region ident.Region) clock.Millis {
+	s, ok := n.heartbeats[region]
 	if !ok {
 		return clock.Forever
 	}
-	return now - s.at
+	return now - s.progressAt
 }
 
-// takePulses learns the pulses that a peer knows.
-func (n *Node) takePulses(now clock.Millis, p *peer, pulses []Pulse) {
-	for _, q := range pulses {
-		s, known := n.pulses[q.Region]
-		if !known && len(n.pulses) >= n.config.MaxRegions {
+// mergeHeartbeats adopts the received heartbeats that are newer than the known ones, and
+// records what the sending peer knows. p is nil if the sender is not a neighbour.
+func (n *Node) mergeHeartbeats(now clock.Millis, p *peer, received []Heartbeat) {
+	for _, h := range received {
+		s, known := n.heartbeats[h.Region]
+		if !known && len(n.heartbeats) >= n.config.MaxRegions {
 			continue
 		}
-		if !known || q.newer(s.pulse) {
-			n.pulses[q.Region] = pulseState{pulse: q, at: now}
+		if !known || h.newer(s.heartbeat) {
+			n.heartbeats[h.Region] = heartbeatState{heartbeat: h, progressAt: now}
 		}
-		if p != nil && q.newer(p.pulses[q.Region]) {
-			p.pulses[q.Region] = q
+		if p != nil && h.newer(p.heartbeats[h.Region]) {
+			p.heartbeats[h.Region] = h
 		}
 	}
 }
 
-// announceDue announces new releases and pulses to the neighbours that lack them,
-// each at most once per interval, and repairs one neighbour.
+// announceDue announces new releases and heartbeats to the neighbours that lack them,
+// each at most once per interval. It also makes the periodic repair announcement to one
+// neighbour if that is due.
 func (n *Node) announceDue(now clock.Millis) []Action {
-	releases := now-n.announcedAt >= n.config.RoundMillis
-	pulses := now-n.pulsedAt >= max(n.config.PulseMillis, n.config.RoundMillis)
+	releaseDue := now-n.releaseAnnouncedAt >= n.config.RoundMillis
+	heartbeatDue := now-n.heartbeatsAnnouncedAt >= max(n.config.HeartbeatMillis, n.config.RoundMillis)
 	var out []Action
 	for _, b := range n.neighbours {
 		p := n.peers[b.Node]
-		lacksRelease := n.held.Version > max(p.version, p.told)
-		if releases && lacksRelease || pulses && n.lacksPulse(p) {
+		lacksRelease := n.held.Version > max(p.version, p.announced)
+		if releaseDue && lacksRelease || heartbeatDue && n.lacksHeartbeat(p) {
 			out = append(out, n.announce(now, b.Node))
 			if lacksRelease {
-				n.announcedAt = now
+				n.releaseAnnouncedAt = now
 			}
-			n.pulsedAt = now
+			n.heartbeatsAnnouncedAt = now
 		}
 	}
 	if now >= n.repairAt && len(n.neighbours) > 0 {
 		n.repairAt = now + n.jitter(n.config.RepairMillis)
-		n.repairNext++
-		out = append(out, n.announce(now, n.neighbours[n.repairNext%len(n.neighbours)].Node))
+		n.repairs++
+		out = append(out, n.announce(now, n.neighbours[n.repairs%len(n.neighbours)].Node))
 	}
 	return out
 }
 
-// lacksPulse reports whether a peer may lack the latest pulse of a region.
-func (n *Node) lacksPulse(p *peer) bool {
-	for region, s := range n.pulses {
-		if s.pulse.newer(p.pulses[region]) {
+// lacksHeartbeat reports whether a peer may lack the latest heartbeat of a region.
+func (n *Node) lacksHeartbeat(p *peer) bool {
+	for region, s := range n.heartbeats {
+		if s.heartbeat.newer(p.heartbeats[region]) {
 			return true
 		}
 	}
 	return false
 }
 
-// announce returns an announcement to a peer and records what it will know.
+// announce returns an announcement to a peer. If the peer is a neighbour, it records the
+// announced version and heartbeats.
 func (n *Node) announce(now clock.Millis, to ident.NodeID) Action {
 	m := Message{Kind: Announce, Version: n.held.Version, Digest: n.held.Digest}
-	for _, s := range n.pulses {
-		m.Pulses = append(m.Pulses, s.pulse)
+	for _, s := range n.heartbeats {
+		m.Heartbeats = append(m.Heartbeats, s.heartbeat)
 	}
-	slices.SortFunc(m.Pulses, func(a, b Pulse) int { return cmp.Compare(a.Region, b.Region) })
+	slices.SortFunc(m.Heartbeats, func(a, b Heartbeat) int { return cmp.Compare(a.Region, b.Region) })
 	if p := n.peers[to]; p != nil {
-		p.told, p.toldAt = n.held.Version, now
-		for _, q := range m.Pulses {
-			p.pulses[q.Region] = q
+		p.announced, p.announcedAt = n.held.Version, now
+		for _, h := range m.Heartbeats {
+			p.heartbeats[h.Region] = h
 		}
 	}
 	return n.send(to, m)
--- a/core/spread/config.go
+++ b/core/spread/config.go
@@ -14,57 +14,59 @@
 
 	// Config holds the settings of a node.
 	Config struct {
-		// RoundMillis is the least interval between announcements, so that
-		// changes coalesce. The first change after a quiet round goes out at
-		// once. A low value favours convergence time, a high one control bytes.
+		// RoundMillis is the minimum interval between announcements of releases, which
+		// batches changes. The first change after a round without changes is announced
+		// at once. A low value shortens convergence; a high one saves control traffic.
 		RoundMillis clock.Millis
-		// PulseMillis is the least interval between announcements of pulses.
-		PulseMillis clock.Millis
-		// RepairMillis is the interval of announcements to one neighbour in turn,
-		// which repair what was lost.
+		// HeartbeatMillis is the minimum interval between announcements of heartbeats.
+		HeartbeatMillis clock.Millis
+		// RepairMillis is the mean interval between periodic announcements, each to the
+		// next neighbour in turn. They make up for lost messages.
 		RepairMillis clock.Millis
-		// FetchMillis is the wait for a body before another neighbour is asked.
-		FetchMillis clock.Millis
-		// BusyMillis is the mean wait after a neighbour was busy, and after every
-		// neighbour failed.
-		BusyMillis clock.Millis
-		// SilentMillis is the time for which a neighbour that sent no body is
-		// asked last.
-		SilentMillis clock.Millis
-		// MaxSnapshots bounds the snapshots that are being served.
+		// FetchTimeoutMillis is the time to wait for a body before the fetch is repeated
+		// with another neighbour.
+		FetchTimeoutMillis clock.Millis
+		// BusyBackoffMillis is the mean time for which no body is fetched from a
+		// neighbour that answered Busy.
+		BusyBackoffMillis clock.Millis
+		// SilentBackoffMillis is the mean time for which no body is fetched from a
+		// neighbour that sent none in time or sent an invalid one.
+		SilentBackoffMillis clock.Millis
+		// MaxSnapshots bounds the snapshot transfers that a node serves at a time.
 		MaxSnapshots int
-		// SnapshotMillis is the time after which a snapshot counts as served if
-		// the receiver did not confirm it.
-		SnapshotMillis clock.Millis
-		// Recent bounds the releases that are kept as bases of deltas.
-		Recent int
-		// MaxChanges bounds a delta; a larger one becomes a snapshot.
+		// SnapshotTimeoutMillis is the time after which a snapshot transfer counts as
+		// finished although the receiver did not confirm it.
+		SnapshotTimeoutMillis clock.Millis
+		// MaxRecent bounds the earlier releases that are kept as bases of deltas.
+		MaxRecent int
+		// MaxChanges bounds the changes of a delta; beyond it a snapshot is sent.
 		MaxChanges int
-		// NeedSourceMillis is the wait for peers before the source is asked for.
-		NeedSourceMillis clock.Millis
-		// SourceMillis is the time that a node without a release leaves to its own
-		// source before it asks neighbours. 0 is for nodes that do not read the source
-		// themselves.
-		SourceMillis clock.Millis
-		// MaxRegions bounds the regions whose pulses are kept.
+		// NeedSourceDelayMillis is the time that a node waits for its peers to provide a
+		// release before it reads the source; the node adds jitter.
+		NeedSourceDelayMillis clock.Millis
+		// SourceTimeoutMillis is the time that a node without a release waits for its own
+		// read of the source before it fetches from neighbours. 0 is for nodes that do not
+		// read the source themselves.
+		SourceTimeoutMillis clock.Millis
+		// MaxRegions bounds the regions whose heartbeats are kept.
 		MaxRegions int
 	}
 )
 
-// DefaultConfig returns the defaults.
+// DefaultConfig returns the default settings.
 func DefaultConfig() Config {
 	return Config{
-		RoundMillis:      100,
-		PulseMillis:      1 * clock.Second,
-		RepairMillis:     5 * clock.Second,
-		FetchMillis:      1500,
-		BusyMillis:       300,
-		SilentMillis:     5 * clock.Second,
-		MaxSnapshots:     16,
-		SnapshotMillis:   2 * clock.Second,
-		Recent:           16,
-		MaxChanges:       1000,
-		NeedSourceMillis: 10 * clock.Second,
-		MaxRegions:       16,
+		RoundMillis:           100,
+		HeartbeatMillis:       1 * clock.Second,
+		RepairMillis:          5 * clock.Second,
+		FetchTimeoutMillis:    1500,
+		BusyBackoffMillis:     300,
+		SilentBackoffMillis:   5 * clock.Second,
+		MaxSnapshots:          16,
+		SnapshotTimeoutMillis: 2 * clock.Second,
+		MaxRecent:             16,
+		MaxChanges:            1000,
+		NeedSourceDelayMillis: 10 * clock.Second,
+		MaxRegions:            16,
 	}
 }
--- a/core/spread/fetch.go
+++ b/core/spread/fetch.go
@@ -10,123 +10,127 @@
 	"hickoryrail/core/model"
 )
 
-// maxReleaseBytes bounds an encoded release; at 160 bytes a route it holds 100,000
+// maxReleaseBytes bounds an encoded release. At 160 bytes per route it allows 100,000
 // routes.
 const maxReleaseBytes = 16 << 20
 
 var (
-	// errOther reports a release other than the one that was announced.
-	errOther = errors.New("release is not the announced one")
-	// errSum reports a snapshot that was altered.
-	errSum = errors.New("snapshot does not match its sum")
+	// errMismatch reports a release with another version or digest than announced.
+	errMismatch = errors.New("release does not match the announced version and digest")
+	// errChecksum reports a snapshot whose body was altered on the way.
+	errChecksum = errors.New("snapshot does not match its checksum")
 )
 
-// Receive handles a message. The transport has verified from.
+// Receive handles a message from another node. The transport must have authenticated from.
 func (n *Node) Receive(now clock.Millis, from ident.NodeID, m Message) []Action {
 	p := n.peers[from]
 	if p != nil && m.Kind == Announce {
-		p.holds(m.Version, m.Digest)
+		p.recordHeld(m.Version, m.Digest)
 	}
 	switch m.Kind {
 	case Announce:
-		return n.heard(now, from, p, m)
+		return n.handleAnnounce(now, from, p, m)
 	case Fetch:
-		return n.serve(now, from, m)
+		return n.handleFetch(now, from, m)
 	case DeltaBody:
-		return n.takeDelta(now, from, m)
+		return n.handleDelta(now, from, m)
 	case SnapshotBody:
-		return n.takeSnapshot(now, from, p, m)
+		return n.handleSnapshot(now, from, p, m)
 	case Busy:
-		n.failed(now, from, n.jitter(n.config.BusyMillis))
-		return n.pursue(now)
+		n.fetchFailed(now, from, n.jitter(n.config.BusyBackoffMillis))
+		return n.startFetch(now)
 	}
 	return nil
 }
 
-// holds records what a peer said that it holds. A lower version means that the
-// peer was restarted, or that an old message came late; it is told anew.
-func (p *peer) holds(v ident.Version, d ident.Digest) {
+// recordHeld records the release that a peer announced. A lower version than before means
+// that the peer was restarted or that an old message arrived late; newer releases are then
+// announced to the peer again.
+func (p *peer) recordHeld(v ident.Version, d ident.Digest) {
 	if v < p.version {
-		p.told = min(p.told, v)
+		p.announced = min(p.announced, v)
 	}
 	p.version, p.digest = v, d
 }
 
-// heard handles an announcement.
-func (n *Node) heard(now clock.Millis, from ident.NodeID, p *peer, m Message) []Action {
+// handleAnnounce fetches the announced release if it is newer, and answers a peer that
+// holds an older one with an announcement. p is nil if the sender is not a neighbour.
+func (n *Node) handleAnnounce(now clock.Millis, from ident.NodeID, p *peer, m Message) []Action {
 	if m.Version >= n.held.Version {
 		delete(n.serving, from)
 	}
 	if from == n.fetch.from && m.Version <= n.held.Version {
-		n.fetch.from = "" // it has nothing newer after all
+		n.fetch.from = "" // the peer holds no newer release any more
 	}
-	n.takePulses(now, p, m.Pulses)
-	out := n.pursue(now)
-	if p != nil && m.Version < n.held.Version && now-p.toldAt >= n.config.RoundMillis {
+	n.mergeHeartbeats(now, p, m.Heartbeats)
+	out := n.startFetch(now)
+	if p != nil && m.Version < n.held.Version && now-p.announcedAt >= n.config.RoundMillis {
 		out = append(out, n.announce(now, from))
 	}
 	return out
 }
 
-// pursue starts a fetch from a random neighbour that holds a newer release.
-func (n *Node) pursue(now clock.Millis) []Action {
+// startFetch starts a fetch from a random neighbour that holds a newer release, unless
+// a fetch is in progress or the node still waits for its own read of the source.
+func (n *Node) startFetch(now clock.Millis) []Action {
 	if n.fetch.from != "" {
 		return nil
 	}
-	var able []ident.NodeID
+	var candidates []ident.NodeID
 	for _, b := range n.neighbours {
-		if p := n.peers[b.Node]; p.version > n.held.Version && now >= p.notBefore {
-			able = append(able, b.Node)
+		if p := n.peers[b.Node]; p.version > n.held.Version && now >= p.fetchNotBefore {
+			candidates = append(candidates, b.Node)
 		}
 	}
-	if len(able) == 0 {
+	if len(candidates) == 0 {
 		return nil
 	}
-	if wait, asked := n.leaveToSource(now); wait {
-		return asked
+	if wait, actions := n.waitForSource(now); wait {
+		return actions
 	}
-	n.fetch.from = able[n.random.IntN(len(able))]
+	n.fetch.from = candidates[n.random.IntN(len(candidates))]
 	n.fetch.sentAt = now
 	m := Message{Kind: Fetch, Version: n.held.Version, Digest: n.held.Digest}
-	if n.fetch.whole {
+	if n.fetch.wantSnapshot {
 		m.Version, m.Digest = 0, ident.Digest{}
 	}
 	return []Action{n.send(n.fetch.from, m)}
 }
 
-// leaveToSource reports whether the node holds nothing yet and its own source still has
-// time to provide a release. The first time it asks for the source.
-func (n *Node) leaveToSource(now clock.Millis) (bool, []Action) {
-	if n.config.SourceMillis == 0 || n.held.Version > 0 {
+// waitForSource reports whether the node holds no release yet and still waits for its own
+// read of the source. The first call returns the action that starts the read.
+func (n *Node) waitForSource(now clock.Millis) (bool, []Action) {
+	if n.config.SourceTimeoutMillis == 0 || n.held.Version > 0 {
 		return false, nil
 	}
 	var out []Action
-	if n.wholeAt == 0 {
-		n.wholeAt = now + n.config.SourceMillis
-		out = append(out, Action{Kind: NeedSource, Version: n.peerVersion()})
+	if n.sourceDeadline == 0 {
+		n.sourceDeadline = now + n.config.SourceTimeoutMillis
+		out = append(out, Action{Kind: NeedSource, Version: n.highestPeerVersion()})
 	}
-	return now < n.wholeAt, out
+	return now < n.sourceDeadline, out
 }
 
-// checkFetch gives up a neighbour that went silent; pursue then asks another.
-func (n *Node) checkFetch(now clock.Millis) {
-	if n.fetch.from != "" && now-n.fetch.sentAt >= n.config.FetchMillis {
-		n.failed(now, n.fetch.from, n.jitter(n.config.SilentMillis))
+// expireFetch ends a fetch that timed out, so that startFetch tries another neighbour.
+func (n *Node) expireFetch(now clock.Millis) {
+	if n.fetch.from != "" && now-n.fetch.sentAt >= n.config.FetchTimeoutMillis {
+		n.fetchFailed(now, n.fetch.from, n.jitter(n.config.SilentBackoffMillis))
 	}
 }
 
-// failed ends the fetch from a neighbour and does not ask it again for a while.
-func (n *Node) failed(now clock.Millis, from ident.NodeID, wait clock.Millis) {
+// fetchFailed ends the fetch from a neighbour and excludes it from fetches for wait.
+func (n *Node) fetchFailed(now clock.Millis, from ident.NodeID, wait clock.Millis) {
 	if p := n.peers[from]; p != nil {
-		p.notBefore = now + wait
+		p.fetchNotBefore = now + wait
 	}
 	if n.fetch.from == from {
 		n.fetch.from = ""
 	}
 }
 
-// serve answers a Fetch with a delta, a snapshot, or a refusal.
-func (n *Node) serve(now clock.Millis, from ident.NodeID, m Message) []Action {
+// handleFetch answers a Fetch with a delta, a snapshot or Busy, or with an announcement if
+// this node holds no newer release.
+func (n *Node) handleFetch(now clock.Millis, from ident.NodeID, m Message) []Action {
 	if n.held.Version <= m.Version {
 		return []Action{n.announce(now, from)}
 	}
@@ -137,16 +141,17 @@
 		return []Action{n.send(from, Message{Kind: Busy, Version: n.held.Version, Digest: n.held.Digest})}
 	}
 	n.serving[from] = now
-	if n.body == nil {
-		n.body = codec.Pack(model.EncodeRelease(n.held))
+	if n.heldBody == nil {
+		n.heldBody = codec.Pack(model.EncodeRelease(n.held))
 	}
-	sum := ident.Sum(n.body)
+	sum := ident.Sum(n.heldBody)
 	return []Action{n.send(from, Message{
-		Kind: SnapshotBody, Version: n.held.Version, Digest: n.held.Digest, Body: n.body, Sum: sum[:],
+		Kind: SnapshotBody, Version: n.held.Version, Digest: n.held.Digest, Body: n.heldBody, Sum: sum[:],
 	})}
 }
 
-// deltaFrom returns the delta from a recent release.
+// deltaFrom returns the delta from a recent release to the held one, and whether that
+// release is known and the delta is within MaxChanges.
 func (n *Node) deltaFrom(v ident.Version, d ident.Digest) (model.Delta, bool) {
 	for _, r := range n.recent {
 		if r.Version == v && r.Digest == d {
@@ -157,45 +162,47 @@
 	return model.Delta{}, false
 }
 
-// takeDelta applies a delta. After a failure it asks for a whole snapshot.
-func (n *Node) takeDelta(now clock.Millis, from ident.NodeID, m Message) []Action {
+// handleDelta applies a delta to the held release. If that fails, it fetches a snapshot.
+func (n *Node) handleDelta(now clock.Millis, from ident.NodeID, m Message) []Action {
 	if m.Delta == nil || m.Delta.To <= n.held.Version {
-		return nil // late or doubled
+		return nil // arrived late or twice
 	}
 	r, err := m.Delta.Apply(n.held)
 	if err == nil && (r.Version != m.Version || r.Digest != m.Digest) {
-		err = errOther
+		err = errMismatch
 	}
 	if err == nil {
 		return n.accept(now, r)
 	}
-	n.refuse(from, m.Delta.To, err)
+	n.reportRefused(from, m.Delta.To, err)
 	if n.fetch.from != from {
 		return nil // an answer to an earlier request
 	}
-	n.fetch.from, n.fetch.whole = "", true
-	return n.pursue(now)
+	n.fetch.from, n.fetch.wantSnapshot = "", true
+	return n.startFetch(now)
 }
 
-// takeSnapshot checks and accepts a whole release, and confirms it to the sender.
-func (n *Node) takeSnapshot(now clock.Millis, from ident.NodeID, p *peer, m Message) []Action {
-	r, err := decode(m)
+// handleSnapshot checks and accepts a whole release. The announcement that it returns
+// confirms the transfer to the sender.
+func (n *Node) handleSnapshot(now clock.Millis, from ident.NodeID, p *peer, m Message) []Action {
+	r, err := decodeSnapshot(m)
 	if err == nil && p != nil && r.Version == p.version && !p.digest.IsZero() && r.Digest != p.digest {
-		err = errOther
+		err = errMismatch
 	}
 	if err != nil {
-		n.refuse(from, m.Version, err)
-		n.failed(now, from, n.jitter(n.config.SilentMillis))
-		return n.pursue(now)
+		n.reportRefused(from, m.Version, err)
+		n.fetchFailed(now, from, n.jitter(n.config.SilentBackoffMillis))
+		return n.startFetch(now)
 	}
 	out := n.accept(now, r)
 	return append(out, n.announce(now, from))
 }
 
-// decode returns the whole release of a SnapshotBody.
-func decode(m Message) (model.Release, error) {
+// decodeSnapshot decodes the release of a SnapshotBody and checks it against the
+// checksum, the version and the digest of the message.
+func decodeSnapshot(m Message) (model.Release, error) {
 	if sum := ident.Sum(m.Body); !bytes.Equal(sum[:], m.Sum) {
-		return model.Release{}, errSum
+		return model.Release{}, errChecksum
 	}
 	body, err := codec.Unpack(m.Body, maxReleaseBytes)
 	if err != nil {
@@ -203,12 +210,12 @@
 	}
 	r, err := model.DecodeRelease(body)
 	if err == nil && (r.Version != m.Version || r.Digest != m.Digest) {
-		err = errOther
+		err = errMismatch
 	}
 	return r, err
 }
 
-// send returns the action that sends a message.
+// send returns the action that sends a message, with the address if to is a neighbour.
 func (n *Node) send(to ident.NodeID, m Message) Action {
 	a := Action{Kind: Send, To: to, Message: m}
 	for _, b := range n.neighbours {
--- a/core/spread/message.go
+++ b/core/spread/message.go
@@ -6,31 +6,31 @@
 )
 
 const (
-	// Announce tells which release the sender holds, and the pulses it knows.
+	// Announce carries the version that the sender holds and the heartbeats that it knows.
 	Announce Kind = iota
-	// Fetch asks for a newer release and tells which one the sender holds.
+	// Fetch requests a newer release and names the one that the sender holds.
 	Fetch
 	// DeltaBody carries the difference from the release that a Fetch named.
 	DeltaBody
 	// SnapshotBody carries a whole release.
 	SnapshotBody
-	// Busy refuses a Fetch, because too many snapshots are being served.
+	// Busy rejects a Fetch because the sender already serves MaxSnapshots snapshots.
 	Busy
 
-	// kinds is the number of kinds.
-	kinds
+	// kindCount is the number of message kinds.
+	kindCount
 )
 
 const (
-	// Send is a message to a peer.
+	// Send sends Message to a peer.
 	Send ActionKind = iota
-	// Apply puts Release in force. Versions only ever grow.
+	// Apply activates Release. Its version is higher than that of each Apply before.
 	Apply
-	// ReadRelease asks the reader to get the release with Version and Digest from
-	// the source and to pass it to SourceRelease.
+	// ReadRelease reads the release with Version and Digest from the source; the
+	// caller passes the result to SourceRelease.
 	ReadRelease
-	// NeedSource says that no peer can provide a release at or above the floor, or
-	// that the source is to provide it before peers do.
+	// NeedSource reads the newest release from the source, because no peer has a
+	// release at or above the floor, or because the source goes before the peers.
 	NeedSource
 )
 
@@ -38,12 +38,13 @@
 	// Kind is the kind of a message.
 	Kind uint8
 
-	// Pulse is the heartbeat of a region's reader, ordered by epoch and count.
-	Pulse struct {
+	// Heartbeat is a heartbeat of a region's reader, ordered by epoch and count.
+	Heartbeat struct {
 		_      struct{} `cbor:",toarray"`
 		Region ident.Region
 		// Epoch is that of the reader's lease.
 		Epoch ident.Epoch
+		// Count grows by 1 with each heartbeat of an epoch and starts at 1.
 		Count uint64
 	}
 
@@ -51,32 +52,34 @@
 	Message struct {
 		_    struct{} `cbor:",toarray"`
 		Kind Kind
-		// Version and Digest name the release that the sender holds, or 0.
+		// Version and Digest identify the release that the sender holds or sends; both
+		// are zero if it holds none, and in a Fetch that requests a snapshot.
 		Version ident.Version
 		Digest  ident.Digest
 		// Delta is set in DeltaBody.
 		Delta *model.Delta
-		// Body is an encoded and packed release in SnapshotBody, and Sum its SHA-256 sum: the
-		// release's own digest covers neither its version nor its edit id.
-		Body   []byte
-		Sum    []byte
-		Pulses []Pulse
+		// Body is the encoded and compressed release of a SnapshotBody, and Sum its SHA-256
+		// checksum, which is needed because the release's own digest covers neither its
+		// version nor its edit id.
+		Body       []byte
+		Sum        []byte
+		Heartbeats []Heartbeat
 	}
 
 	// ActionKind is the kind of an action.
 	ActionKind uint8
 
-	// Action is what the caller must do.
+	// Action is a step that the caller must carry out.
 	Action struct {
 		Kind ActionKind
-		// To, Address and Message belong to Send. Address is empty if To is no
+		// To, Address and Message are set for Send. Address is empty if To is not a
 		// neighbour.
 		To      ident.NodeID
 		Address string
 		Message Message
-		// Release belongs to Apply.
+		// Release is set for Apply.
 		Release model.Release
-		// Version and Digest belong to ReadRelease.
+		// Version and Digest are set for ReadRelease, and Version for NeedSource.
 		Version ident.Version
 		Digest  ident.Digest
 	}
@@ -84,25 +87,25 @@
 
 var (
 	// kindNames holds the text form of each kind.
-	kindNames = [kinds]string{"Announce", "Fetch", "DeltaBody", "SnapshotBody", "Busy"}
+	kindNames = [kindCount]string{"Announce", "Fetch", "DeltaBody", "SnapshotBody", "Busy"}
 	// actionNames holds the text form of each action kind.
 	actionNames = [...]string{"Send", "Apply", "ReadRelease", "NeedSource"}
 )
 
-// String returns the kind's name.
+// String returns the message kind's name.
 func (k Kind) String() string {
-	return kindNames[min(k, kinds-1)]
+	return kindNames[min(k, kindCount-1)]
 }
 
-// String returns the kind's name.
+// String returns the action kind's name.
 func (k ActionKind) String() string {
 	return actionNames[min(int(k), len(actionNames)-1)]
 }
 
-// newer reports whether p is a later heartbeat than other.
-func (p Pulse) newer(other Pulse) bool {
-	if p.Epoch != other.Epoch {
-		return p.Epoch > other.Epoch
+// newer reports whether h is a later heartbeat than other.
+func (h Heartbeat) newer(other Heartbeat) bool {
+	if h.Epoch != other.Epoch {
+		return h.Epoch > other.Epoch
 	}
-	return p.Count > other.Count
+	return h.Count > other.Count
 }
--- a/core/spread/node_test.go
+++ b/core/spread/node_test.go
@@ -15,106 +15,107 @@
 	"hickoryrail/core/model"
 )
 
-// TestReleases guards against versions that fall (I1), against releases that are
-// put in force in part or altered (I3), and against nodes that stay behind, under
-// loss, doubled, tampered, reordered and very late messages, one-way cuts, kills
-// and restarts with empty memory.
+// TestReleases guards against versions that decrease (I1), releases that are applied in
+// part or altered (I3), and nodes that do not converge, under lost, duplicated, tampered,
+// reordered and very late messages, one-way partitions, kills and restarts with empty
+// memory.
 func TestReleases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 16).Draw(t, "nodes")
-		b := newBag(t, rapid.Uint64().Draw(t, "seed"), n)
-		b.publish()
-		b.run(3 * clock.Second)
-		node := rapid.SampledFrom(b.names)
+		sim := newSimulation(t, rapid.Uint64().Draw(t, "seed"), n)
+		sim.publish()
+		sim.run(3 * clock.Second)
+		node := rapid.SampledFrom(sim.names)
 		for range rapid.IntRange(1, 10).Draw(t, "faults") {
-			b.config.RoundMillis = clock.Millis(rapid.SampledFrom([]int{100, 500, 2000}).Draw(t, "round"))
-			b.loss = rapid.Float64Range(0, 0.9).Draw(t, "loss")
-			b.double = rapid.Float64Range(0, 0.5).Draw(t, "double")
-			b.tamper = rapid.Float64Range(0, 0.3).Draw(t, "tamper")
-			b.hold = clock.Millis(rapid.IntRange(0, 30_000).Draw(t, "hold"))
+			sim.config.RoundMillis = clock.Millis(rapid.SampledFrom([]int{100, 500, 2000}).Draw(t, "round"))
+			sim.loss = rapid.Float64Range(0, 0.9).Draw(t, "loss")
+			sim.duplicate = rapid.Float64Range(0, 0.5).Draw(t, "double")
+			sim.tamper = rapid.Float64Range(0, 0.3).Draw(t, "tamper")
+			sim.maxExtraDelay = clock.Millis(rapid.IntRange(0, 30_000).Draw(t, "hold"))
 			from, to := node.Draw(t, "from"), node.Draw(t, "to")
-			b.cut = func(f, o ident.NodeID) bool { return f == from && o == to }
+			sim.blocked = func(f, o ident.NodeID) bool { return f == from && o == to }
 			p := node.Draw(t, "node")
 			switch rapid.IntRange(0, 2).Draw(t, "fault") {
 			case 0:
-				b.places[p].node = nil
+				sim.processes[p].node = nil
 			case 1:
-				b.start(p)
+				sim.start(p)
 			}
 			for range rapid.IntRange(0, 20).Draw(t, "releases") {
-				b.publish()
-				b.run(clock.Millis(rapid.IntRange(0, 1000).Draw(t, "gap")))
+				sim.publish()
+				sim.run(clock.Millis(rapid.IntRange(0, 1000).Draw(t, "gap")))
 			}
 		}
-		b.loss, b.double, b.tamper, b.hold, b.cut = 0, 0, 0, 0, nil
-		for _, name := range b.names {
-			if b.places[name].node == nil {
-				b.start(name)
+		sim.loss, sim.duplicate, sim.tamper, sim.maxExtraDelay, sim.blocked = 0, 0, 0, 0, nil
+		for _, name := range sim.names {
+			if sim.processes[name].node == nil {
+				sim.start(name)
 			}
 		}
-		// Held messages arrive; then each hop takes at most one repair to every
-		// neighbour in turn and one fetch after the last silence.
-		c := b.config
-		b.run(30*clock.Second + clock.Millis(n)*(2*c.SilentMillis+2*c.FetchMillis+c.RoundMillis))
-		if lag := b.lagging(); len(lag) > 0 {
-			t.Fatalf("of %d nodes, %v lack version %d", n, lag, len(b.releases))
+		// The delayed messages arrive first. Then each hop takes at most one repair
+		// announcement to every neighbour in turn and one fetch after the last backoff.
+		c := sim.config
+		sim.run(30*clock.Second + clock.Millis(n)*(2*c.SilentBackoffMillis+2*c.FetchTimeoutMillis+c.RoundMillis))
+		if lag := sim.lagging(); len(lag) > 0 {
+			t.Fatalf("of %d nodes, %v lack version %d", n, lag, len(sim.releases))
 		}
 	})
 }
 
-// TestConvergenceTime guards against hops that take longer than a round on a
-// network without faults.
+// TestConvergenceTime guards against hops that take longer than a round on a network
+// without faults.
 func TestConvergenceTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 40).Draw(t, "nodes")
-		b := newBag(t, rapid.Uint64().Draw(t, "seed"), n)
-		b.config.RoundMillis = clock.Millis(rapid.SampledFrom([]int{100, 500, 2000}).Draw(t, "round"))
-		for _, name := range b.names {
-			b.start(name)
+		sim := newSimulation(t, rapid.Uint64().Draw(t, "seed"), n)
+		sim.config.RoundMillis = clock.Millis(rapid.SampledFrom([]int{100, 500, 2000}).Draw(t, "round"))
+		for _, name := range sim.names {
+			sim.start(name)
 		}
 		for range rapid.IntRange(1, 6).Draw(t, "releases") {
-			b.publish()
-			b.run(clock.Millis(rapid.IntRange(0, 3000).Draw(t, "gap")))
+			sim.publish()
+			sim.run(clock.Millis(rapid.IntRange(0, 3000).Draw(t, "gap")))
 		}
-		// The farthest node is at distance n/2 in steps of 3. A hop takes at most
-		// a round and three messages, each delivered with the next tick.
+		// The farthest node is at distance n/2, which takes steps of 3. A hop takes at
+		// most a round and three messages, each of which is delivered at the next tick.
 		hops := clock.Millis(n/6 + 3)
-		b.run(hops * (b.config.RoundMillis + 4*tickMillis))
-		if lag := b.lagging(); len(lag) > 0 {
-			t.Fatalf("of %d nodes, %v lack version %d", n, lag, len(b.releases))
+		sim.run(hops * (sim.config.RoundMillis + 4*tickMillis))
+		if lag := sim.lagging(); len(lag) > 0 {
+			t.Fatalf("of %d nodes, %v lack version %d", n, lag, len(sim.releases))
 		}
-		if b.snapshots > n || b.reads > len(b.releases) {
-			t.Fatalf("%d snapshots and %d reads for %d nodes and %d releases", b.snapshots, b.reads, n, len(b.releases))
+		if sim.snapshots > n || sim.reads > len(sim.releases) {
+			t.Fatalf("%d snapshots and %d reads for %d nodes and %d releases", sim.snapshots, sim.reads, n, len(sim.releases))
 		}
 	})
 }
 
-// TestGroupReturns guards against a group that overloads its neighbours or the
-// source when it returns with empty memory. The bag checks the limit.
+// TestGroupReturns guards against a group of nodes that overloads its neighbours or the
+// source when it restarts with empty memory. The simulation checks the limit of snapshot
+// transfers.
 func TestGroupReturns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(8, 40).Draw(t, "nodes")
-		b := newBag(t, rapid.Uint64().Draw(t, "seed"), n)
-		b.config.MaxSnapshots = 1
-		for _, name := range b.names {
-			b.start(name)
+		sim := newSimulation(t, rapid.Uint64().Draw(t, "seed"), n)
+		sim.config.MaxSnapshots = 1
+		for _, name := range sim.names {
+			sim.start(name)
 		}
-		b.publish()
-		b.run(clock.Millis(n) * clock.Second)
-		if lag := b.lagging(); len(lag) > 0 {
+		sim.publish()
+		sim.run(clock.Millis(n) * clock.Second)
+		if lag := sim.lagging(); len(lag) > 0 {
 			t.Fatalf("before: %v", lag)
 		}
-		// The group is everything but the reader and its like; it lost a version.
-		b.reads = 0
-		for _, name := range b.names[rapid.IntRange(1, n/2).Draw(t, "stay"):] {
-			b.start(name)
+		// The group is all nodes except the reader and the nodes that keep running.
+		sim.reads = 0
+		for _, name := range sim.names[rapid.IntRange(1, n/2).Draw(t, "stay"):] {
+			sim.start(name)
 		}
-		b.run(clock.Millis(n) * (b.config.BusyMillis + b.config.FetchMillis + b.config.RoundMillis))
-		if lag := b.lagging(); len(lag) > 0 {
+		sim.run(clock.Millis(n) * (sim.config.BusyBackoffMillis + sim.config.FetchTimeoutMillis + sim.config.RoundMillis))
+		if lag := sim.lagging(); len(lag) > 0 {
 			t.Fatalf("of %d nodes, %v lack the release", n, lag)
 		}
-		if b.reads != 0 {
-			t.Fatalf("the source was read %d times", b.reads)
+		if sim.reads != 0 {
+			t.Fatalf("the source was read %d times", sim.reads)
 		}
 	})
 }
@@ -128,14 +129,14 @@
 	return r
 }
 
-// snapshot returns a whole release as a message.
+// snapshot returns the SnapshotBody of a release.
 func snapshot(r model.Release) Message {
 	body := codec.Pack(model.EncodeRelease(r))
 	sum := ident.Sum(body)
 	return Message{Kind: SnapshotBody, Version: r.Version, Digest: r.Digest, Body: body, Sum: sum[:]}
 }
 
-// sent returns the messages of a kind.
+// sent returns the Send actions whose message is of a kind.
 func sent(kind Kind, actions []Action) []Action {
 	return slices.DeleteFunc(only(Send, actions), func(a Action) bool { return a.Message.Kind != kind })
 }
@@ -151,8 +152,8 @@
 	return out
 }
 
-// TestFloor guards against a restarted node that serves a version older than one
-// that its slot held (I1).
+// TestFloor guards against a restarted node that applies a version older than one that its
+// predecessor process held (I1).
 func TestFloor(t *testing.T) {
 	is := is.New(t)
 	n := New(DefaultConfig(), rand.New(rand.NewPCG(1, 1)))
@@ -172,8 +173,8 @@
 	is.True(n.Ready())
 }
 
-// TestSourceIsChecked guards against a source whose body is not the one that its
-// head names, and against a stale read of the head.
+// TestSourceIsChecked guards against accepting a release that differs from the head of the
+// source, and against a stale read of the head.
 func TestSourceIsChecked(t *testing.T) {
 	is := is.New(t)
 	n := New(DefaultConfig(), rand.New(rand.NewPCG(1, 1)))
@@ -182,7 +183,7 @@
 	n.SetFloor(0, 0)
 	two := release(t, 2)
 	is.Equal(len(only(ReadRelease, n.SourceHead(1, 2, two.Digest))), 1)
-	is.Equal(len(n.SourceHead(2, 2, two.Digest)), 0) // already asked for
+	is.Equal(len(n.SourceHead(2, 2, two.Digest)), 0) // already requested
 	is.Equal(len(n.SourceRelease(3, release(t, 3))), 0)
 	broken := two
 	broken.Configuration = configuration(9)
@@ -193,8 +194,8 @@
 	is.Equal(n.Applied(), ident.Version(2))
 }
 
-// TestSilentNeighbourIsReplaced guards against a fetch that waits for ever for a
-// neighbour that went silent.
+// TestSilentNeighbourIsReplaced guards against a fetch that waits forever for a neighbour
+// that does not answer.
 func TestSilentNeighbourIsReplaced(t *testing.T) {
 	is := is.New(t)
 	c := DefaultConfig()
@@ -207,13 +208,13 @@
 	is.Equal(first[0].Message.Kind, Fetch)
 	is.Equal(first[0].To, ident.NodeID("b"))
 	n.Receive(1, "c", announce)
-	second := sent(Fetch, n.Tick(1+c.FetchMillis))
+	second := sent(Fetch, n.Tick(1+c.FetchTimeoutMillis))
 	is.Equal(len(second), 1)
 	is.Equal(second[0].To, ident.NodeID("c"))
 }
 
-// TestBadDeltaLeadsToSnapshot guards against a node that asks for the same failing
-// delta for ever.
+// TestBadDeltaLeadsToSnapshot guards against a node that fetches the same invalid delta
+// forever.
 func TestBadDeltaLeadsToSnapshot(t *testing.T) {
 	is := is.New(t)
 	n := New(DefaultConfig(), rand.New(rand.NewPCG(1, 1)))
@@ -231,13 +232,13 @@
 	is.Equal(len(only(Apply, n.Receive(4, "b", snapshot(three)))), 1)
 }
 
-// TestSourceBeforeSnapshot guards against whole releases that cross the fleet although
-// each node that starts reads the source itself, and against a node that waits for ever
-// for a source that does not answer.
+// TestSourceBeforeSnapshot guards against snapshots between nodes that each read the source
+// themselves at start, and against a node that waits forever for a source that does not
+// answer.
 func TestSourceBeforeSnapshot(t *testing.T) {
 	is := is.New(t)
 	c := DefaultConfig()
-	c.SourceMillis = 800
+	c.SourceTimeoutMillis = 800
 	newNode := func() *Node {
 		n := New(c, rand.New(rand.NewPCG(1, 1)))
 		n.SetNeighbours(0, []Neighbour{{Node: "b"}})
@@ -252,16 +253,16 @@
 	is.Equal(len(only(NeedSource, actions)), 1)
 	is.Equal(len(sent(Fetch, actions)), 0)
 	is.Equal(len(only(NeedSource, n.Tick(100))), 0)
-	is.Equal(len(sent(Fetch, n.Tick(1+c.SourceMillis))), 1)
+	is.Equal(len(sent(Fetch, n.Tick(1+c.SourceTimeoutMillis))), 1)
 	is.Equal(len(only(Apply, n.Receive(900, "b", snapshot(two)))), 1)
 
-	// A node that holds a release asks at once.
+	// A node that holds a release fetches at once.
 	asked := sent(Fetch, n.Receive(1000, "b", announce(three)))
 	is.Equal(len(asked), 1)
 	is.Equal(asked[0].Message.Version, ident.Version(2))
 }
 
-// TestRounds guards against changes that do not coalesce within a round, and
+// TestRounds guards against changes within a round that are announced one by one, and
 // against a last change that is announced late or not at all.
 func TestRounds(t *testing.T) {
 	is := is.New(t)
@@ -286,43 +287,43 @@
 	is.Equal(announced, []ident.Version{1, 10})
 }
 
-// TestPulse guards against a reader that counts as live because of old or
-// repeated pulses, and against pulses that do not reach everyone.
-func TestPulse(t *testing.T) {
+// TestHeartbeat guards against a reader that counts as live because of old or repeated
+// heartbeats, and against heartbeats that do not reach all nodes.
+func TestHeartbeat(t *testing.T) {
 	is := is.New(t)
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 20).Draw(t, "nodes")
-		b := newBag(t, rapid.Uint64().Draw(t, "seed"), n)
+		sim := newSimulation(t, rapid.Uint64().Draw(t, "seed"), n)
 		hops := clock.Millis(n/6 + 3)
-		reader := b.places[b.names[0]]
+		reader := sim.processes[sim.names[0]]
 		for range 10 {
-			b.post(b.names[0], reader.node.ReaderPulse(b.now+reader.skew, "r", 1))
-			b.run(b.config.PulseMillis)
+			sim.perform(sim.names[0], reader.node.ReaderHeartbeat(sim.now+reader.skew, "r", 1))
+			sim.run(sim.config.HeartbeatMillis)
 		}
-		b.run(hops * (b.config.PulseMillis + tickMillis))
-		for _, name := range b.names {
-			p := b.places[name]
-			if p.node.pulses["r"].pulse.Count != 10 {
-				t.Fatalf("%s knows pulse %d of 10", name, p.node.pulses["r"].pulse.Count)
+		sim.run(hops * (sim.config.HeartbeatMillis + tickMillis))
+		for _, name := range sim.names {
+			p := sim.processes[name]
+			if p.node.heartbeats["r"].heartbeat.Count != 10 {
+				t.Fatalf("%s knows heartbeat %d of 10", name, p.node.heartbeats["r"].heartbeat.Count)
 			}
 		}
-		b.run(20 * clock.Second)
-		for _, name := range b.names {
-			p := b.places[name]
-			if age := p.node.PulseAge(b.now+p.skew, "r"); age < 20*clock.Second {
-				t.Fatalf("%s saw progress %v ago", name, age)
+		sim.run(20 * clock.Second)
+		for _, name := range sim.names {
+			p := sim.processes[name]
+			if age := p.node.HeartbeatAge(sim.now+p.skew, "r"); age < 20*clock.Second {
+				t.Fatalf("%s learned a heartbeat %v ago", name, age)
 			}
 		}
 	})
 	m := New(DefaultConfig(), rand.New(rand.NewPCG(1, 1)))
-	pulse := func(epoch ident.Epoch, count uint64) Message {
-		return Message{Kind: Announce, Pulses: []Pulse{{Region: "r", Epoch: epoch, Count: count}}}
+	heartbeat := func(epoch ident.Epoch, count uint64) Message {
+		return Message{Kind: Announce, Heartbeats: []Heartbeat{{Region: "r", Epoch: epoch, Count: count}}}
 	}
-	is.Equal(m.PulseAge(5, "r"), clock.Forever)
-	m.Receive(10, "b", pulse(2, 5))
-	m.Receive(20, "b", pulse(2, 5))
-	m.Receive(30, "c", pulse(1, 9))
-	is.Equal(m.PulseAge(40, "r"), clock.Millis(30))
-	m.Receive(50, "c", pulse(3, 1))
-	is.Equal(m.PulseAge(60, "r"), clock.Millis(10))
+	is.Equal(m.HeartbeatAge(5, "r"), clock.Forever)
+	m.Receive(10, "b", heartbeat(2, 5))
+	m.Receive(20, "b", heartbeat(2, 5))
+	m.Receive(30, "c", heartbeat(1, 9))
+	is.Equal(m.HeartbeatAge(40, "r"), clock.Millis(30))
+	m.Receive(50, "c", heartbeat(3, 1))
+	is.Equal(m.HeartbeatAge(60, "r"), clock.Millis(10))
 }
--- a/io/node/fleet.go
+++ b/io/node/fleet.go
@@ -152,7 +152,7 @@
 
 // readerPulse tells the region that its reader is at work.
 func (f *fleet) readerPulse(region ident.Region, epoch ident.Epoch) {
-	f.event(func(now clock.Millis) []spread.Action { return f.releases.ReaderPulse(now, region, epoch) })
+	f.event(func(now clock.Millis) []spread.Action { return f.releases.ReaderHeartbeat(now, region, epoch) })
 }
 
 // event passes an event to the distribution and carries out its actions.
@@ -168,7 +168,7 @@
 func (f *fleet) pulseAge(region ident.Region) clock.Millis {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.releases.PulseAge(f.clock.Now(), region)
+	return f.releases.HeartbeatAge(f.clock.Now(), region)
 }
 
 // peerFloor returns the highest version that peers hold or have recorded for this
--- a/io/node/hosted.go
+++ b/io/node/hosted.go
@@ -172,7 +172,7 @@
 // of the target.
 func (n *Node) wireHostedFleet(random *rand.Rand) {
 	config := spread.DefaultConfig()
-	config.SourceMillis, config.FetchMillis = hostedSourceMillis, hostedFetchMillis
+	config.SourceTimeoutMillis, config.FetchTimeoutMillis = hostedSourceMillis, hostedFetchMillis
 	n.fleet = &fleet{
 		clock: n.clock, transport: n.transport, ingress: n.ingress, gateway: n.gateway,
 		log: n.decisions, service: n.settings.Service, metrics: n.metrics,
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -212,7 +212,7 @@
 	timing.TTLMillis = s.Lease.TTLMillis
 	timing.RenewMillis = s.Lease.TTLMillis / 4
 	timing.MarginMillis = s.Lease.TTLMillis / 6
-	pulse := max(distribution.PulseMillis, distribution.RoundMillis)
+	pulse := max(distribution.HeartbeatMillis, distribution.RoundMillis)
 	timing.SilenceMillis = max(timing.SilenceMillis, silentPulses*pulse)
 	n.reader = &reader{
 		clock: n.clock, region: s.Region, store: store, fleet: n.fleet, log: n.decisions, metrics: n.metrics,
--- a/io/wire/control_test.go
+++ b/io/wire/control_test.go
@@ -49,7 +49,7 @@
 		{Member: &member.Message{Kind: member.Sync, Sequence: 1 << 60, Buckets: make([]byte, 512)}},
 		{Spread: &spread.Message{
 			Kind: spread.DeltaBody, Version: 2, Digest: two.Digest, Delta: &delta,
-			Pulses: []spread.Pulse{{Region: "r", Epoch: 1, Count: 9}},
+			Heartbeats: []spread.Heartbeat{{Region: "r", Epoch: 1, Count: 9}},
 		}},
 		{Spread: &spread.Message{Kind: spread.SnapshotBody, Version: 2, Digest: two.Digest, Body: body, Sum: sum[:]}},
 	}
