--- a/core/lease/row.go
+++ b/core/lease/row.go
@@ -10,14 +10,14 @@
 	"hickoryrail/core/ident"
 )
 
-// Row is the value of the row Lease/<Region>.
+// Row is the value that the store keeps under the key Lease/<Region>.
 type Row struct {
 	// Holder is empty after a graceful release.
 	Holder ident.NodeID
 	// Epoch grows by 1 with each new holder.
 	Epoch ident.Epoch
-	// Count grows by 1 with each renewal. It starts at random, so that two
-	// processes with one NodeID can tell their writes apart.
+	// Count grows by 1 with each renewal. Its initial value is random, so that two
+	// processes with the same NodeID can tell their writes apart.
 	Count uint64
 }
 
@@ -26,7 +26,7 @@
 	return "Lease/" + string(r)
 }
 
-// EncodeRow returns the row's value.
+// EncodeRow returns the JSON encoding of a row.
 func EncodeRow(r Row) []byte {
 	body, err := json.Marshal(r)
 	if err != nil {
@@ -35,8 +35,7 @@
 	return body
 }
 
-// DecodeRow decodes the row's value; unknown fields and trailing bytes are
-// refused.
+// DecodeRow decodes a row. It rejects unknown fields, trailing bytes and epoch 0.
 func DecodeRow(value []byte) (Row, error) {
 	var r Row
 	d := json.NewDecoder(bytes.NewReader(value))
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -213,7 +213,7 @@
 	timing.RenewMillis = s.Lease.TTLMillis / 4
 	timing.MarginMillis = s.Lease.TTLMillis / 6
 	pulse := max(distribution.HeartbeatMillis, distribution.RoundMillis)
-	timing.SilenceMillis = max(timing.SilenceMillis, silentPulses*pulse)
+	timing.HeartbeatTimeoutMillis = max(timing.HeartbeatTimeoutMillis, silentPulses*pulse)
 	n.reader = &reader{
 		clock: n.clock, region: s.Region, store: store, fleet: n.fleet, log: n.decisions, metrics: n.metrics,
 		submitter:  &plat.Submitter{Store: store, Clock: n.clock, Seed: random.Uint64()},
--- a/io/plat/keeper.go
+++ b/io/plat/keeper.go
@@ -50,14 +50,14 @@
 func (k *Keeper) Pulse() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.Lease.Pulse(k.Clock.Now())
+	k.Lease.Heartbeat(k.Clock.Now())
 }
 
 // SetFleet sets the number of nodes that may contend for the lease.
 func (k *Keeper) SetFleet(n int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.Lease.Fleet = n
+	k.Lease.FleetSize = n
 }
 
 // Run takes part until ctx ends, and then releases the lease.
@@ -109,9 +109,9 @@
 		switch a.Kind {
 		case lease.Read, lease.Write:
 			k.calls.Go(func() { k.answers <- k.call(ctx, a) })
-		case lease.Hold:
+		case lease.Acquired:
 			tell(k.OnHold, a.Epoch)
-		case lease.Lose:
+		case lease.Lost:
 			tell(k.OnLose, a.Epoch)
 		case lease.Stopped:
 			stopped = true
@@ -133,7 +133,7 @@
 	if a.Kind == lease.Write {
 		row, err := k.Store.WriteRow(ctx, key, lease.EncodeRow(a.Row), a.Revision)
 		return func(now clock.Millis) []lease.Action {
-			return k.Lease.Written(now, leaseReply(err), row.Revision)
+			return k.Lease.WriteDone(now, leaseReply(err), row.Revision)
 		}
 	}
 	row, err := k.Store.ReadRow(ctx, key)
--- a/io/plat/keeper_test.go
+++ b/io/plat/keeper_test.go
@@ -23,10 +23,10 @@
 	now := clock.NewManual(0) // a slow machine cannot make the lease lapse
 	held, lost := make(chan ident.Epoch, 9), make(chan ident.Epoch, 9)
 	run := func(self ident.NodeID) (context.CancelFunc, chan error) {
-		timing := lease.Timing{TTLMillis: 3000, RenewMillis: 80, MarginMillis: 500, SilenceMillis: 50, SpreadMillis: 10}
+		timing := lease.Timing{TTLMillis: 3000, RenewMillis: 80, MarginMillis: 500, HeartbeatTimeoutMillis: 50, JitterPerNodeMillis: 10}
 		k := &plat.Keeper{
 			Store: client, Clock: now, Region: "attica",
-			Lease:  &lease.Lease{Self: self, Timing: timing, Rand: rand.New(rand.NewPCG(1, 1)), Fleet: 2},
+			Lease:  &lease.Lease{Self: self, Timing: timing, Rand: rand.New(rand.NewPCG(1, 1)), FleetSize: 2},
 			OnHold: func(e ident.Epoch) { held <- e }, OnLose: func(e ident.Epoch) { lost <- e },
 		}
 		ctx, cancel := context.WithCancel(context.Background())
