--- a/core/member/config.go
+++ b/core/member/config.go
@@ -6,7 +6,7 @@
 )
 
 type (
-	// Seed is a node through which others join.
+	// Seed is a node that others contact to join the overlay.
 	Seed struct {
 		Node    ident.NodeID
 		Address string
@@ -18,28 +18,32 @@
 		Seeds []Seed
 		// ProbeMillis is the interval between probes of one neighbour.
 		ProbeMillis clock.Millis
-		// TimeoutMillis is the wait for a direct answer, and IndirectMillis the
-		// further wait for an indirect one.
+		// TimeoutMillis is the wait for a direct answer to a probe, and
+		// IndirectMillis the further wait for an indirect one.
 		TimeoutMillis  clock.Millis
 		IndirectMillis clock.Millis
 		// SuspectMaxMillis is the time from Suspect to Dead with one observer,
-		// and SuspectMinMillis with as many as there can be. The minimum leaves a
-		// suspected node time to learn of it and refute it.
+		// and SuspectMinMillis with the largest possible number of observers.
+		// The minimum leaves a suspected node time to receive the suspicion and
+		// refute it.
 		SuspectMinMillis clock.Millis
 		SuspectMaxMillis clock.Millis
 		// DeadMillis is the time that a dead record is kept, so that late
 		// messages do not resurrect it.
 		DeadMillis clock.Millis
-		// RetryMillis is the interval between tries of a dead member and a seed.
+		// RetryMillis is the interval between attempts to contact a dead member
+		// and a seed.
 		RetryMillis clock.Millis
-		// JoinMillis is the interval between tries of a node without members.
+		// JoinMillis is the interval between attempts of a node without members
+		// to contact a seed.
 		JoinMillis clock.Millis
-		// SyncMillis is the least interval between the syncs that a node starts.
+		// SyncMillis is the minimum interval between the syncs that a node starts.
 		SyncMillis clock.Millis
-		// PauseMillis is the gap between ticks from which a node takes itself to
-		// have been paused. It is well above the interval of ticks.
+		// PauseMillis is the gap between two ticks at which a node assumes that
+		// its process was paused. It is well above the interval of ticks.
 		PauseMillis clock.Millis
-		// PiggybackBytes bounds the updates on a probe; a packet holds them.
+		// PiggybackBytes bounds the updates in a message, so that a probe fits
+		// into one packet.
 		PiggybackBytes int
 		// SyncBytes bounds the updates of a SyncReply.
 		SyncBytes int
@@ -50,7 +54,7 @@
 	}
 )
 
-// DefaultConfig returns the defaults.
+// DefaultConfig returns the default settings.
 func DefaultConfig() Config {
 	return Config{
 		ProbeMillis:      1 * clock.Second,
--- a/core/member/explore_test.go
+++ b/core/member/explore_test.go
@@ -15,43 +15,44 @@
 )
 
 const (
-	// exploreSteps bounds a path, and exploreTicks the ticks in it.
+	// exploreSteps bounds the steps of a path, and exploreTicks the ticks in it.
 	exploreSteps, exploreTicks = 8, 1
-	// exploreLost and exploreDoubled bound the messages with that fate.
-	exploreLost, exploreDoubled = 1, 1
+	// exploreLost and exploreDuplicated bound the lost and duplicated messages of a path.
+	exploreLost, exploreDuplicated = 1, 1
 )
 
 type (
-	// pair is a node with a target and a node that watches it, in one state.
+	// pair is one state of a simulation of two nodes: one with a target and one that
+	// watches it.
 	pair struct {
-		// trusting breaks a rule on purpose: the watcher takes over every record,
+		// acceptsStale violates a rule on purpose: the watcher accepts every record,
 		// whether it is newer or not.
-		trusting bool
+		acceptsStale bool
 
-		now     clock.Millis
-		tables  map[ident.NodeID]*Table
-		letters []letter
-		// next is the state that the target takes next.
-		next                         TargetState
+		now      clock.Millis
+		tables   map[ident.NodeID]*Table
+		inFlight []packet
+		// nextState is the next state of the target.
+		nextState                    TargetState
 		crashes, ticks, lost, copies int
-		// highest is the newest record of the node that the watcher has had.
-		highest Record
+		// newest is the newest record of the watched node that the watcher has had.
+		newest Record
 	}
 )
 
 // watched and watching are the nodes of a pair.
 const watched, watching ident.NodeID = "a", "b"
 
-// newPair returns two nodes that know each other.
-func newPair(trusting bool) *pair {
-	p := &pair{trusting: trusting, tables: make(map[ident.NodeID]*Table), next: Draining}
+// newPair returns two nodes that are members of each other's table.
+func newPair(acceptsStale bool) *pair {
+	p := &pair{acceptsStale: acceptsStale, tables: make(map[ident.NodeID]*Table), nextState: Draining}
 	p.start(watched, 1)
 	p.start(watching, 1)
 	for range 20 {
 		p.now += tickMillis
 		for _, n := range []ident.NodeID{watched, watching} {
-			p.post(n, p.tables[n].Tick(p.now))
-			for len(p.letters) > 0 {
+			p.send(n, p.tables[n].Tick(p.now))
+			for len(p.inFlight) > 0 {
 				p.deliver(0)
 			}
 		}
@@ -60,60 +61,60 @@
 }
 
 // start starts a node with empty memory.
-func (p *pair) start(n ident.NodeID, life ident.Incarnation) {
+func (p *pair) start(n ident.NodeID, incarnation ident.Incarnation) {
 	config := DefaultConfig()
 	config.Seeds = []Seed{{Node: watched, Address: "a"}, {Node: watching, Address: "b"}}
 	p.tables[n] = New(Record{
-		Node: n, Incarnation: life, PeerAddress: string(n), Service: "orders", Target: ident.TargetID("t-" + n), TargetState: Ready,
+		Node: n, Incarnation: incarnation, PeerAddress: string(n), Service: "orders", Target: ident.TargetID("t-" + n), TargetState: Ready,
 	}, config, rand.New(rand.NewPCG(1, 2)))
 }
 
-// post puts messages on the network.
-func (p *pair) post(from ident.NodeID, actions []Action) {
+// send puts messages of a node on the network.
+func (p *pair) send(from ident.NodeID, actions []Action) {
 	for _, a := range actions {
-		p.letters = append(p.letters, letter{from: from, Action: a})
+		p.inFlight = append(p.inFlight, packet{from: from, Action: a})
 	}
 }
 
-// deliver brings a message to its receiver.
+// deliver delivers message i to its receiver.
 func (p *pair) deliver(i int) {
-	l := p.letters[i]
-	p.letters = slices.Delete(p.letters, i, i+1)
-	t := p.tables[l.To]
-	if p.trusting && l.To == watching {
-		for _, u := range l.Message.Updates {
+	m := p.inFlight[i]
+	p.inFlight = slices.Delete(p.inFlight, i, i+1)
+	t := p.tables[m.To]
+	if p.acceptsStale && m.To == watching {
+		for _, u := range m.Message.Updates {
 			if m := t.members[u.Record.Node]; m != nil {
-				t.set(p.now, m, u.Record, "taken over")
+				t.setRecord(p.now, m, u.Record, "accepted unchecked")
 			}
 		}
 	}
-	p.post(l.To, t.Receive(p.now, l.from, l.Message))
+	p.send(m.To, t.Receive(p.now, m.from, m.Message))
 }
 
-// steps returns everything that can happen next.
-func (p *pair) steps() []func() {
+// nextSteps returns all steps that are possible in the present state.
+func (p *pair) nextSteps() []func() {
 	var out []func()
-	for i := range p.letters {
+	for i := range p.inFlight {
 		out = append(out, func() { p.deliver(i) })
 		if p.lost < exploreLost {
-			out = append(out, func() { p.lost++; p.letters = slices.Delete(p.letters, i, i+1) })
+			out = append(out, func() { p.lost++; p.inFlight = slices.Delete(p.inFlight, i, i+1) })
 		}
-		if p.copies < exploreDoubled {
-			out = append(out, func() { p.copies++; p.letters = append(p.letters, p.letters[i]) })
+		if p.copies < exploreDuplicated {
+			out = append(out, func() { p.copies++; p.inFlight = append(p.inFlight, p.inFlight[i]) })
 		}
 	}
-	if p.next <= TargetLeft {
+	if p.nextState <= TargetLeft {
 		out = append(out, func() {
 			a := p.tables[watched]
-			p.post(watched, a.SetTarget(p.now, "orders", "t-a", p.next))
-			p.next++
+			p.send(watched, a.SetTarget(p.now, "orders", "t-a", p.nextState))
+			p.nextState++
 		})
 	}
 	if p.crashes == 0 {
 		out = append(out, func() {
 			p.crashes++
 			p.start(watched, 2)
-			p.next = Draining
+			p.nextState = Draining
 		})
 	}
 	if p.ticks < exploreTicks {
@@ -121,29 +122,29 @@
 			p.ticks++
 			p.now += clock.Second
 			for _, n := range []ident.NodeID{watched, watching} {
-				p.post(n, p.tables[n].Tick(p.now))
+				p.send(n, p.tables[n].Tick(p.now))
 			}
 		})
 	}
 	return out
 }
 
-// broken returns the rule that does not hold, or "".
-func (p *pair) broken() string {
+// violation describes the rule that the present state violates, or returns "".
+func (p *pair) violation() string {
 	r, ok := p.tables[watching].Record(watched)
 	switch {
 	case !ok || r.Node == "":
 		return ""
-	case p.highest.Newer(r) && !r.sameLife(p.highest):
-		return "watcher goes back to an earlier record"
-	case r.Routable() && r.sameLife(p.tables[watched].Self()) && !p.tables[watched].Self().Routable():
-		return "watcher routes to a target that the same record calls unroutable"
+	case p.newest.Newer(r) && !r.sameRevision(p.newest):
+		return "watcher replaced a record by an earlier one"
+	case r.Routable() && r.sameRevision(p.tables[watched].Self()) && !p.tables[watched].Self().Routable():
+		return "watcher routes to a target whose own record of the same revision is not routable"
 	}
-	p.highest = r
+	p.newest = r
 	return ""
 }
 
-// state describes everything that later steps and checks depend on.
+// state encodes everything that affects later steps and checks.
 func (p *pair) state() string {
 	var b strings.Builder
 	for _, n := range []ident.NodeID{watched, watching} {
@@ -155,69 +156,69 @@
 		}
 		fmt.Fprint(&b, t.self, t.lastProbe, t.nextProbe, t.noticeDue, t.nextNotice, len(t.probes))
 		for _, m := range t.ordered {
-			fmt.Fprint(&b, m.record, m.knows, m.suspectedAt, m.differsSince)
+			fmt.Fprint(&b, m.record, m.selfSummary, m.suspectedAt, m.digestDiffersSince)
 		}
 	}
-	texts := make([]string, len(p.letters))
-	for i, l := range p.letters {
-		texts[i] = fmt.Sprint(l.from, l.To, l.Message)
+	texts := make([]string, len(p.inFlight))
+	for i, m := range p.inFlight {
+		texts[i] = fmt.Sprint(m.from, m.To, m.Message)
 	}
 	slices.Sort(texts)
-	fmt.Fprint(&b, texts, p.now, p.next, p.crashes, p.ticks, p.lost, p.copies, p.highest)
+	fmt.Fprint(&b, texts, p.now, p.nextState, p.crashes, p.ticks, p.lost, p.copies, p.newest)
 	return b.String()
 }
 
-// settled lets both nodes exchange what is left and reports whether they agree.
-func (p *pair) settled() bool {
+// converges runs the nodes without further faults and reports whether they agree.
+func (p *pair) converges() bool {
 	for range 100 {
 		p.now += tickMillis
 		for _, n := range []ident.NodeID{watched, watching} {
-			p.post(n, p.tables[n].Tick(p.now))
-			for len(p.letters) > 0 {
+			p.send(n, p.tables[n].Tick(p.now))
+			for len(p.inFlight) > 0 {
 				p.deliver(0)
 			}
 		}
 	}
 	r, _ := p.tables[watching].Record(watched)
-	return r.sameLife(p.tables[watched].Self())
+	return r.sameRevision(p.tables[watched].Self())
 }
 
-// explorePairs plays all orders and returns the first broken rule.
-func explorePairs(trusting bool) (broken string, states int) {
+// explorePairs explores all orders of steps and returns the first violation.
+func explorePairs(acceptsStale bool) (violation string, states int) {
 	_, states = paths.Explore(func(c *paths.Chooser) bool {
-		p := newPair(trusting)
+		p := newPair(acceptsStale)
 		for range exploreSteps {
-			steps := p.steps()
+			steps := p.nextSteps()
 			if len(steps) == 0 {
 				break
 			}
 			steps[c.Choose(len(steps))]()
-			if broken = p.broken(); broken != "" {
+			if violation = p.violation(); violation != "" {
 				return false
 			}
 			if c.Seen(p.state) {
 				return true
 			}
 		}
-		if !p.settled() {
-			broken = "nodes do not agree in the end"
+		if !p.converges() {
+			violation = "nodes did not converge"
 			return false
 		}
 		return true
 	})
-	return broken, states
+	return violation, states
 }
 
 // TestEveryOrderOfUpdates guards against an order of losses, delays, duplicates,
-// target changes and a restart after which a node takes an earlier state of another
-// node's target for the present one.
+// target changes and a restart after which a node has an outdated state of another
+// node's target.
 func TestEveryOrderOfUpdates(t *testing.T) {
 	is := is.New(t)
-	broken, states := explorePairs(false)
-	is.Equal(broken, "")
-	is.True(states > 1000) // the exploration has not ended early
+	violation, states := explorePairs(false)
+	is.Equal(violation, "")
+	is.True(states > 1000) // the exploration did not end early
 	t.Logf("%d states", states)
 
-	broken, _ = explorePairs(true)
-	is.True(broken != "")
+	violation, _ = explorePairs(true)
+	is.True(violation != "")
 }
--- a/core/member/duty.go
+++ b/core/member/leader.go
@@ -1,9 +1,9 @@
 package member
 
-// LeadsDomain reports whether the node is one of the first count nodes that answer in
-// its failure domain, in order of id. Nodes use it to share a duty without a lease:
-// while their tables differ, a few more or others carry it out, so it must be one
-// that does no harm when it is done twice.
+// LeadsDomain reports whether the node is one of the first count Alive nodes of its
+// failure domain, in order of id. It assigns a task to a few nodes without a lease:
+// while their tables differ, more nodes or other nodes may run the task, so it must be
+// safe to run twice.
 func (t *Table) LeadsDomain(count int) bool {
 	before := 0
 	for _, m := range t.ordered {
--- a/core/member/message.go
+++ b/core/member/message.go
@@ -9,26 +9,27 @@
 	ProbeAck
 	// IndirectProbe asks the receiver to probe Target on the sender's behalf.
 	IndirectProbe
-	// Sync carries bucket hashes and asks for the records that differ. Without
-	// hashes it asks for all records.
+	// Sync carries bucket hashes and requests the records of the buckets that
+	// differ. Without hashes it requests all records.
 	Sync
-	// SyncReply carries whole buckets of records.
+	// SyncReply carries all records of one or more buckets.
 	SyncReply
-	// Notice carries updates and asks for nothing. A leaving node sends it.
+	// Notice carries updates and needs no answer. A node sends it after a change
+	// of its own record, and when it leaves.
 	Notice
 
-	// kinds is the number of kinds.
-	kinds
+	// kindCount is the number of kinds.
+	kindCount
 )
 
 const (
 	// bucketCount is the number of hash buckets of a Sync.
 	bucketCount = 256
-	// bucketBytes is the size of the hash of one bucket. It may be short, since
-	// each Sync hashes with another salt.
+	// bucketBytes is the size of the hash of one bucket. A short hash suffices,
+	// because each Sync uses another salt, so a collision does not persist.
 	bucketBytes = 2
-	// maxCounter bounds incarnations and change counts from peers, so that a
-	// refutation can always go above them.
+	// maxCounter bounds incarnations and revisions from peers, so that a
+	// refutation can always exceed them.
 	maxCounter = 1 << 62
 )
 
@@ -36,18 +37,18 @@
 	// Kind is the kind of a message.
 	Kind uint8
 
-	// Known is what the sender knows of the receiver. It lets the receiver
-	// refute a suspicion, send a newer record, and learn the version that its
-	// slot held before a restart.
-	Known struct {
+	// RecordSummary is a short form of the record that the sender of a message has
+	// of the receiver. It lets the receiver refute a suspicion, send a newer record,
+	// and learn the version that it had in force before a restart.
+	RecordSummary struct {
 		_           struct{} `cbor:",toarray"`
 		Incarnation ident.Incarnation
-		Change      uint64
+		Revision    uint64
 		State       State
 		Held        ident.Version
 	}
 
-	// Update is a record on its way through the overlay.
+	// Update is a record that nodes forward through the overlay.
 	Update struct {
 		_      struct{} `cbor:",toarray"`
 		Record Record
@@ -59,44 +60,48 @@
 	Message struct {
 		_    struct{} `cbor:",toarray"`
 		Kind Kind
-		// Sequence joins an answer with its question; in Sync it is the salt.
+		// Sequence matches an answer to its request; in a Sync it is also the salt.
 		Sequence uint64
 		// Digest is the digest of the sender's live records.
 		Digest uint64
-		// Held is the version that the sender has put in force.
-		Held  ident.Version
-		Known Known
-		// Target and Address name the node of an IndirectProbe.
+		// Held is the release version that the sender has put in force.
+		Held ident.Version
+		// Receiver is the sender's summary of its record of the receiver; it is
+		// zero if the sender has none.
+		Receiver RecordSummary
+		// Target and Address are those of the node that an IndirectProbe asks to
+		// probe. A ProbeAck from a helper has the probed node as Target.
 		Target  ident.NodeID
 		Address string
-		// Buckets are the bucket hashes of a Sync, or the numbers of the whole
-		// buckets in a SyncReply.
+		// Buckets holds the bucket hashes of a Sync, or the numbers of the buckets
+		// that a SyncReply contains in full.
 		Buckets []byte
 		// Final is set on a SyncReply that needs no records in return.
 		Final   bool
 		Updates []Update
 	}
 
-	// Action is a message that is to be sent.
+	// Action is a message that the caller has to send.
 	Action struct {
 		To ident.NodeID
-		// Address is empty if it is not known; an open connection may exist.
+		// Address is empty if it is unknown; then only an open connection to the
+		// node can carry the message.
 		Address string
 		Message Message
 	}
 )
 
-// kindNames holds the text form of each kind.
-var kindNames = [kinds]string{"Probe", "ProbeAck", "IndirectProbe", "Sync", "SyncReply", "Notice"}
+// kindNames holds the name of each kind.
+var kindNames = [kindCount]string{"Probe", "ProbeAck", "IndirectProbe", "Sync", "SyncReply", "Notice"}
 
 // String returns the kind's name.
 func (k Kind) String() string {
-	return kindNames[min(k, kinds-1)]
+	return kindNames[min(k, kindCount-1)]
 }
 
-// Valid reports whether the message is well formed. Others are dropped.
+// Valid reports whether the message is well formed. Receive drops invalid messages.
 func (m Message) Valid() bool {
-	if m.Kind >= kinds {
+	if m.Kind >= kindCount {
 		return false
 	}
 	if m.Kind == Sync && len(m.Buckets) != 0 && len(m.Buckets) != bucketCount*bucketBytes {
@@ -107,11 +112,11 @@
 			return false
 		}
 	}
-	return m.Known.State <= Left && m.Known.Incarnation < maxCounter && m.Known.Change < maxCounter
+	return m.Receiver.State <= Left && m.Receiver.Incarnation < maxCounter && m.Receiver.Revision < maxCounter
 }
 
-// valid reports whether a record from a peer is in range.
+// valid reports whether the fields of a record from a peer are in range.
 func (r Record) valid() bool {
 	return r.Node != "" && r.State <= Left && r.TargetState <= TargetLeft &&
-		r.Incarnation < maxCounter && r.Change < maxCounter
+		r.Incarnation < maxCounter && r.Revision < maxCounter
 }
--- a/core/member/probe.go
+++ b/core/member/probe.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// helperCount is the number of neighbours asked for an indirect probe.
+	// helperCount is the number of neighbours that receive an IndirectProbe.
 	helperCount = 2
-	// maxRelays bounds the probes for others that await an answer.
+	// maxRelays bounds the unanswered probes on behalf of other nodes.
 	maxRelays = 32
 )
 
 type (
-	// probe is a probe of a neighbour without an answer.
+	// probe is an unanswered probe of a neighbour.
 	probe struct {
 		sequence uint64
 		sentAt   clock.Millis
-		// indirect is set once helpers were asked.
+		// indirect is set once the indirect probes were requested.
 		indirect bool
 	}
 
@@ -31,27 +31,27 @@
 	}
 )
 
-// Tick does what is due.
+// Tick runs the timers that are due and returns the messages to send.
 func (t *Table) Tick(now clock.Millis) []Action {
 	if t.self.State == Left {
 		return nil
 	}
-	t.notePause(now)
+	t.detectPause(now)
 	t.expire(now)
 	t.rings.update(t.ordered)
 	out := t.checkProbes(now)
 	out = append(out, t.startProbes(now)...)
-	out = append(out, t.retry(now)...)
+	out = append(out, t.reconnect(now)...)
 	if t.noticeDue && now >= t.nextNotice {
 		out = append(out, t.notify(now)...)
 	}
 	return out
 }
 
-// notePause detects that the node itself did not run for a while. Answers that
-// came meanwhile are still unread, so pending probes start anew and suspicions
-// get the lost time back.
-func (t *Table) notePause(now clock.Millis) {
+// detectPause handles a pause of the node's own process. Answers that arrived during
+// the pause are still unread, so pending probes are dropped and sent again, and the
+// timeouts of suspicions are extended by the pause.
+func (t *Table) detectPause(now clock.Millis) {
 	gap := now - t.lastTick
 	t.lastTick = now
 	if gap < t.config.PauseMillis {
@@ -63,15 +63,15 @@
 		if m.record.State == Suspect {
 			m.suspectedAt = min(m.suspectedAt+gap, now)
 		}
-		m.differsSince = 0
+		m.digestDiffersSince = 0
 	}
 	for i := range t.nextProbe {
-		// The probes of the rings are spread over the interval.
+		// Spreads the probes of the rings over the interval.
 		t.nextProbe[i] = now + t.config.ProbeMillis*clock.Millis(i)/ringCount
 	}
 }
 
-// startProbes probes the ring successors that are due.
+// startProbes probes the ring successors whose next probe is due.
 func (t *Table) startProbes(now clock.Millis) []Action {
 	var out []Action
 	for i, m := range t.rings.successors {
@@ -89,8 +89,8 @@
 	return out
 }
 
-// checkProbes asks helpers for late answers and suspects members whose answer did
-// not come by them either.
+// checkProbes requests indirect probes of members that did not answer in time, and
+// suspects members that did not answer those either. It also drops expired relays.
 func (t *Table) checkProbes(now clock.Millis) []Action {
 	var out []Action
 	for _, m := range t.ordered {
@@ -102,10 +102,10 @@
 		switch {
 		case !p.indirect && waited >= t.config.TimeoutMillis:
 			p.indirect = true
-			out = append(out, t.askHelpers(m, p.sequence)...)
+			out = append(out, t.requestIndirectProbes(m, p.sequence)...)
 		case waited >= t.config.TimeoutMillis+t.config.IndirectMillis:
 			delete(t.probes, m.record.Node)
-			t.missed(now, m)
+			t.probeFailed(now, m)
 		}
 	}
 	for sequence, r := range t.relays {
@@ -116,8 +116,9 @@
 	return out
 }
 
-// missed records that the node itself got no answer from a member.
-func (t *Table) missed(now clock.Millis, m *member) {
+// probeFailed records that the node's own probes of a member, direct and indirect,
+// were not answered.
+func (t *Table) probeFailed(now clock.Millis, m *member) {
 	switch m.record.State {
 	case Alive:
 		t.suspect(now, m, m.record, t.self.Node, "no answer to a probe, direct or indirect")
@@ -127,8 +128,8 @@
 	}
 }
 
-// askHelpers asks other neighbours to probe a member.
-func (t *Table) askHelpers(m *member, sequence uint64) []Action {
+// requestIndirectProbes asks randomly chosen other neighbours to probe a member.
+func (t *Table) requestIndirectProbes(m *member, sequence uint64) []Action {
 	helpers := slices.DeleteFunc(t.neighbours(), func(h *member) bool {
 		return h == m || h.record.State != Alive
 	})
@@ -142,7 +143,7 @@
 	return out
 }
 
-// relay probes a node on behalf of another.
+// relay probes a node on behalf of another node.
 func (t *Table) relay(now clock.Millis, from ident.NodeID, m Message) []Action {
 	if len(t.relays) >= maxRelays || m.Target == "" || m.Target == t.self.Node {
 		return nil
@@ -152,8 +153,9 @@
 	return []Action{{To: m.Target, Address: m.Address, Message: t.message(Probe, m.Target, t.lastProbe)}}
 }
 
-// acknowledged ends the probe that m answers. A helper's answer names the target.
-func (t *Table) acknowledged(from ident.NodeID, m Message) []Action {
+// handleAck ends the probe that m answers, and passes the answer to a relayed probe
+// on to its requester. An answer from a helper has the probed node as Target.
+func (t *Table) handleAck(from ident.NodeID, m Message) []Action {
 	target := from
 	if m.Target != "" {
 		target = m.Target
@@ -170,9 +172,9 @@
 	return nil
 }
 
-// retry tries one random dead member and one seed, so that regions that were
-// apart find each other again.
-func (t *Table) retry(now clock.Millis) []Action {
+// reconnect contacts one random dead member and one seed, so that the overlay becomes
+// one again after a partition.
+func (t *Table) reconnect(now clock.Millis) []Action {
 	var out []Action
 	if now >= t.nextRetry {
 		t.nextRetry = now + t.jitter(t.config.RetryMillis)
@@ -187,42 +189,43 @@
 		}
 	}
 	if now >= t.nextSeed {
-		out = append(out, t.trySeed(now)...)
+		out = append(out, t.contactSeed(now)...)
 	}
 	return out
 }
 
-// trySeed probes a seed that is not a live member. A node without members asks it
-// for all records, and does so more often.
-func (t *Table) trySeed(now clock.Millis) []Action {
+// contactSeed probes a seed that is not a live member. A node without members
+// requests all records from the seed instead, at a shorter interval.
+func (t *Table) contactSeed(now clock.Millis) []Action {
 	if now < t.joinUntil {
 		t.nextSeed = now + joinIntervalMillis
-		return t.trySeeds()
+		return t.contactSeeds()
 	}
 	kind, interval := Probe, t.config.RetryMillis
 	if len(t.rings.successors) == 0 {
 		kind, interval = Sync, t.config.JoinMillis
 	}
 	t.nextSeed = now + t.jitter(interval)
-	seed, ok := t.lostSeed()
+	seed, ok := t.randomMissingSeed()
 	if !ok {
 		return nil
 	}
 	return []Action{{To: seed.Node, Address: seed.Address, Message: t.message(kind, seed.Node, 0)}}
 }
 
-// lostSeed returns a random seed that is not a live member. Live ones need no
-// try, and a connection to a node that is no neighbour costs a handshake.
-func (t *Table) lostSeed() (Seed, bool) {
-	lost := t.lostSeeds()
+// randomMissingSeed returns a random seed that is not a live member. Seeds that are
+// live members are skipped: contacting them gains nothing, and a connection to a node
+// that is not a neighbour costs a handshake.
+func (t *Table) randomMissingSeed() (Seed, bool) {
+	lost := t.missingSeeds()
 	if len(lost) == 0 {
 		return Seed{}, false
 	}
 	return lost[t.random.IntN(len(lost))], true
 }
 
-// lostSeeds returns the seeds that are not live members.
-func (t *Table) lostSeeds() []Seed {
+// missingSeeds returns the seeds that are not live members.
+func (t *Table) missingSeeds() []Seed {
 	var lost []Seed
 	for _, s := range t.config.Seeds {
 		m := t.members[s.Node]
@@ -233,7 +236,7 @@
 	return lost
 }
 
-// jitter returns d plus or minus a quarter.
+// jitter returns d changed at random by up to 25% up or down.
 func (t *Table) jitter(d clock.Millis) clock.Millis {
 	return d * clock.Millis(0.75+t.random.Float64()/2)
 }
--- a/core/member/region.go
+++ b/core/member/region.go
@@ -2,9 +2,9 @@
 
 import "hickoryrail/core/ident"
 
-// SizeOf returns the number of live nodes in a region with the node itself. It
-// copies no records, so that it can be asked often.
-func (t *Table) SizeOf(region ident.Region) int {
+// RegionSize returns the number of live nodes in a region, including the node itself.
+// It copies no records, so that frequent calls are cheap.
+func (t *Table) RegionSize(region ident.Region) int {
 	n := 0
 	if t.self.Region == region {
 		n++
--- a/core/member/ring.go
+++ b/core/member/ring.go
@@ -8,24 +8,24 @@
 	"hickoryrail/core/ident"
 )
 
-// ringCount is the number of hash rings, and of neighbours that each node probes.
+// ringCount is the number of hash rings, and of the neighbours that each node probes.
 const ringCount = 4
 
-// rings holds a node's place in the overlay.
+// rings holds a node's positions and neighbours in the overlay.
 type rings struct {
-	// own are the node's positions.
-	own [ringCount]uint64
+	// positions are the node's positions on the rings.
+	positions [ringCount]uint64
 	// successors are distinct; there are fewer than ringCount only if there are
 	// fewer live members.
 	successors []*member
 	// predecessors are distinct and not in successors.
 	predecessors []*member
-	// dirty is set when the set of live members has changed.
+	// dirty is set if the set of live members has changed since the last update.
 	dirty bool
 }
 
-// hashesOf returns the positions of a node.
-func hashesOf(n ident.NodeID) [ringCount]uint64 {
+// ringPositions returns the positions of a node on the rings.
+func ringPositions(n ident.NodeID) [ringCount]uint64 {
 	var out [ringCount]uint64
 	for i := range out {
 		out[i] = xxhash.Sum64String(string(rune('0'+i)) + string(n))
@@ -33,13 +33,13 @@
 	return out
 }
 
-// place sets the positions of the node itself.
-func (r *rings) place(n ident.NodeID) {
-	r.own = hashesOf(n)
+// setNode sets the node that the rings belong to.
+func (r *rings) setNode(n ident.NodeID) {
+	r.positions = ringPositions(n)
 	r.dirty = true
 }
 
-// update finds the neighbours anew after the set of live members has changed.
+// update recomputes the neighbours if the set of live members has changed.
 func (r *rings) update(members []*member) {
 	if !r.dirty {
 		return
@@ -47,28 +47,28 @@
 	r.dirty = false
 	r.successors, r.predecessors = nil, nil
 	for i := range ringCount {
-		if m := nearest(members, i, func(h uint64) uint64 { return h - r.own[i] }, r.successors); m != nil {
+		if m := nearest(members, i, func(h uint64) uint64 { return h - r.positions[i] }, r.successors); m != nil {
 			r.successors = append(r.successors, m)
 		}
 	}
-	taken := slices.Clone(r.successors)
+	excluded := slices.Clone(r.successors)
 	for i := range ringCount {
-		if m := nearest(members, i, func(h uint64) uint64 { return r.own[i] - h }, taken); m != nil {
+		if m := nearest(members, i, func(h uint64) uint64 { return r.positions[i] - h }, excluded); m != nil {
 			r.predecessors = append(r.predecessors, m)
-			taken = append(taken, m)
+			excluded = append(excluded, m)
 		}
 	}
 }
 
-// nearest returns the live member at the least distance on ring i that is not in
-// taken, or nil.
-func nearest(members []*member, i int, distance func(uint64) uint64, taken []*member) *member {
+// nearest returns the live member at the smallest distance on ring i that is not in
+// excluded, or nil.
+func nearest(members []*member, i int, distance func(uint64) uint64, excluded []*member) *member {
 	var best *member
 	for _, m := range members {
-		if !m.record.live() || slices.Contains(taken, m) {
+		if !m.record.live() || slices.Contains(excluded, m) {
 			continue
 		}
-		if best == nil || distance(m.hashes[i]) < distance(best.hashes[i]) {
+		if best == nil || distance(m.positions[i]) < distance(best.positions[i]) {
 			best = m
 		}
 	}
@@ -82,7 +82,7 @@
 }
 
 // Neighbours returns the records of the nodes that this node probes and of those
-// that probe it; at most 8 at any fleet size.
+// that probe it; there are at most 8 at any fleet size.
 func (t *Table) Neighbours() []Record {
 	var out []Record
 	for _, m := range t.neighbours() {
--- a/core/member/seed.go
+++ b/core/member/seed.go
@@ -3,18 +3,18 @@
 import "hickoryrail/core/clock"
 
 const (
-	// joinMillis is the time after a list of seeds for which several are tried at
-	// once. Nodes that start together know nothing of each other, and one seed
-	// that has just started itself is of no help.
+	// joinMillis is the time after AddSeeds during which several seeds are contacted
+	// at once. When nodes start together, a single seed may have just started too and
+	// have no records to return.
 	joinMillis = 3 * clock.Second
-	// joinIntervalMillis is the interval between these tries, and joinSeeds the
-	// number of seeds in each.
+	// joinIntervalMillis is the interval between these attempts, and joinSeedCount the
+	// number of seeds contacted in each.
 	joinIntervalMillis = 200 * clock.Millis(1)
-	joinSeeds          = 8
+	joinSeedCount      = 8
 )
 
-// AddSeeds adds nodes through which this one joins, for example those that a
-// directory lists. A seed that is known keeps its newest address.
+// AddSeeds adds seeds, for example those that a directory lists, and contacts several
+// of them at once. A seed that exists already gets the new address.
 func (t *Table) AddSeeds(now clock.Millis, seeds []Seed) {
 	for _, s := range seeds {
 		if s.Node != t.self.Node {
@@ -36,12 +36,12 @@
 	t.config.Seeds = append(t.config.Seeds, s)
 }
 
-// trySeeds asks a few random seeds that are not live members for all records.
-func (t *Table) trySeeds() []Action {
-	lost := t.lostSeeds()
+// contactSeeds requests all records from a few random seeds that are not live members.
+func (t *Table) contactSeeds() []Action {
+	lost := t.missingSeeds()
 	t.random.Shuffle(len(lost), func(i, j int) { lost[i], lost[j] = lost[j], lost[i] })
 	var out []Action
-	for _, s := range lost[:min(len(lost), joinSeeds)] {
+	for _, s := range lost[:min(len(lost), joinSeedCount)] {
 		out = append(out, Action{To: s.Node, Address: s.Address, Message: t.message(Sync, s.Node, 0)})
 	}
 	return out
--- a/core/member/seed_test.go
+++ b/core/member/seed_test.go
@@ -11,9 +11,9 @@
 	"hickoryrail/core/ident"
 )
 
-// TestStartTogether guards against a slow start of nodes that lost everything at
-// the same moment: each knows the others by a directory only, with one entry in
-// four of a node that is gone, and within a second all must know each other.
+// TestStartTogether guards against a slow join when all nodes restart at the same time
+// without stored state. Their only seeds come from a directory in which one entry in
+// five is of a stopped node; all must be in each other's tables within a second.
 func TestStartTogether(t *testing.T) {
 	is := is.New(t)
 	const nodes = 24
@@ -27,18 +27,14 @@
 			tables[id] = New(self, DefaultConfig(), rand.New(rand.NewPCG(uint64(i), 7)))
 		}
 	}
-	type envelope struct {
-		from ident.NodeID
-		Action
-	}
-	var inFlight []envelope
+	var inFlight []packet
 	send := func(from ident.NodeID, actions []Action) {
 		for _, a := range actions {
-			inFlight = append(inFlight, envelope{from, a})
+			inFlight = append(inFlight, packet{from: from, Action: a})
 		}
 	}
-	started := func(id ident.NodeID) clock.Millis { return clock.Millis(hashesOf(id)[0] % 300) }
-	known := func() int {
+	startsAt := func(id ident.NodeID) clock.Millis { return clock.Millis(ringPositions(id)[0] % 300) }
+	leastSize := func() int {
 		least := nodes
 		for _, table := range tables {
 			least = min(least, table.Size())
@@ -46,16 +42,16 @@
 		return least
 	}
 	now := clock.Millis(0)
-	for ; now <= 300+clock.Second && known() < nodes; now += 50 {
+	for ; now <= 300+clock.Second && leastSize() < nodes; now += 50 {
 		arrived := inFlight
 		inFlight = nil
 		for _, m := range arrived {
-			if to := tables[m.To]; to != nil && started(m.To) <= now {
+			if to := tables[m.To]; to != nil && startsAt(m.To) <= now {
 				send(m.To, to.Receive(now, m.from, m.Message))
 			}
 		}
 		for id, table := range tables {
-			if at := started(id); at <= now {
+			if at := startsAt(id); at <= now {
 				if at > now-50 {
 					table.AddSeeds(now, seeds)
 				}
@@ -63,5 +59,5 @@
 			}
 		}
 	}
-	is.Equal(known(), nodes)
+	is.Equal(leastSize(), nodes)
 }
--- a/core/member/sync.go
+++ b/core/member/sync.go
@@ -10,17 +10,17 @@
 	"hickoryrail/core/ident"
 )
 
-// compareDigest starts a sync with a member whose digest has differed for two
-// probes; a difference that forwarding settles by itself lasts about as long.
+// compareDigest starts a sync with a member whose digest has differed for two probe
+// intervals, about the time in which forwarding alone removes a difference.
 func (t *Table) compareDigest(now clock.Millis, sender *member, m Message) []Action {
 	if m.Digest == t.digest {
-		sender.differsSince = 0
+		sender.digestDiffersSince = 0
 		return nil
 	}
-	if sender.differsSince == 0 {
-		sender.differsSince = now
+	if sender.digestDiffersSince == 0 {
+		sender.digestDiffersSince = now
 	}
-	if now-sender.differsSince < 2*t.config.ProbeMillis || now < t.nextSync {
+	if now-sender.digestDiffersSince < 2*t.config.ProbeMillis || now < t.nextSync {
 		return nil
 	}
 	t.nextSync = now + t.jitter(t.config.SyncMillis)
@@ -29,12 +29,12 @@
 	return []Action{a}
 }
 
-// bucketHashes returns the hash of each bucket of live records, with the salt.
+// bucketHashes returns the salted hash of the live records in each bucket.
 func (t *Table) bucketHashes(salt uint64) []byte {
 	var sums [bucketCount]uint64
 	add := func(n ident.NodeID, contribution uint64) {
 		if contribution != 0 {
-			sums[bucketOf(n)] ^= salted(contribution, salt)
+			sums[bucketOf(n)] ^= saltedHash(contribution, salt)
 		}
 	}
 	add(t.self.Node, contribution(t.self))
@@ -53,31 +53,32 @@
 	return int(xxhash.Sum64String(string(n)) % bucketCount)
 }
 
-// salted hashes a contribution with a salt.
-func salted(contribution, salt uint64) uint64 {
+// saltedHash returns the hash of a contribution and a salt.
+func saltedHash(contribution, salt uint64) uint64 {
 	var b [16]byte
 	binary.BigEndian.PutUint64(b[:8], contribution)
 	binary.BigEndian.PutUint64(b[8:], salt)
 	return xxhash.Sum64(b[:])
 }
 
-// answerSync sends the records of the buckets that differ.
+// answerSync returns the records of the buckets that differ, within the limit on
+// replies per second.
 func (t *Table) answerSync(now clock.Millis, from ident.NodeID, m Message) []Action {
-	if now >= t.repliesAt {
-		t.repliesAt, t.repliesLeft = now+clock.Second, t.config.SyncReplies
+	if now >= t.repliesResetAt {
+		t.repliesResetAt, t.repliesLeft = now+clock.Second, t.config.SyncReplies
 	}
 	if t.repliesLeft <= 0 {
 		return nil
 	}
 	t.repliesLeft--
-	differing := t.differing(m)
+	differing := t.differingBuckets(m)
 	a := t.reply(SyncReply, from, m.Sequence)
-	a.Message.Buckets, a.Message.Updates = t.wholeBuckets(differing)
+	a.Message.Buckets, a.Message.Updates = t.collectBuckets(differing)
 	return []Action{a}
 }
 
-// differing returns the buckets whose hashes differ from those of a Sync.
-func (t *Table) differing(m Message) [bucketCount]bool {
+// differingBuckets returns the buckets whose hashes differ from those of a Sync.
+func (t *Table) differingBuckets(m Message) [bucketCount]bool {
 	var out [bucketCount]bool
 	own := t.bucketHashes(m.Sequence)
 	for i := range out {
@@ -87,23 +88,23 @@
 	return out
 }
 
-// wholeBuckets returns the records of the wanted buckets within the byte limit,
-// with the dead ones, and the numbers of the buckets. It begins at a random
-// bucket, so that later syncs get to those that did not fit.
-func (t *Table) wholeBuckets(wanted [bucketCount]bool) ([]byte, []Update) {
+// collectBuckets returns the numbers and all records of the wanted buckets that fit
+// within the byte limit, including dead records. It starts at a random bucket, so that
+// later syncs cover the buckets that did not fit.
+func (t *Table) collectBuckets(wanted [bucketCount]bool) ([]byte, []Update) {
 	var content [bucketCount][]Update
-	put := func(r Record) {
+	add := func(r Record) {
 		if i := bucketOf(r.Node); wanted[i] {
 			content[i] = append(content[i], Update{Record: r})
 		}
 	}
-	put(t.self)
+	add(t.self)
 	for _, m := range t.ordered {
-		put(m.record)
+		add(m.record)
 	}
 	var numbers []byte
 	var updates []Update
-	room := t.config.SyncBytes
+	remaining := t.config.SyncBytes
 	first := t.random.IntN(bucketCount)
 	for k := range bucketCount {
 		i := (first + k) % bucketCount
@@ -111,9 +112,9 @@
 			continue
 		}
 		for _, u := range content[i] {
-			room -= size(u)
+			remaining -= encodedSize(u)
 		}
-		if room < 0 {
+		if remaining < 0 {
 			break
 		}
 		numbers = append(numbers, byte(i))
@@ -122,24 +123,24 @@
 	return numbers, updates
 }
 
-// completeSync returns the own records in the buckets of a SyncReply that the
-// peer lacks or holds in an older form.
-func (t *Table) completeSync(from ident.NodeID, m Message) []Action {
+// answerSyncReply returns the records in the buckets of a SyncReply that the peer
+// lacks or has in an older revision or state.
+func (t *Table) answerSyncReply(from ident.NodeID, m Message) []Action {
 	if m.Final {
 		return nil
 	}
-	theirs := make(map[ident.NodeID]Record, len(m.Updates))
+	received := make(map[ident.NodeID]Record, len(m.Updates))
 	for _, u := range m.Updates {
-		theirs[u.Record.Node] = u.Record
+		received[u.Record.Node] = u.Record
 	}
 	var wanted [bucketCount]bool
 	for _, i := range m.Buckets {
 		wanted[i] = true
 	}
-	_, own := t.wholeBuckets(wanted)
+	_, own := t.collectBuckets(wanted)
 	var missing []Update
 	for _, u := range own {
-		r, ok := theirs[u.Record.Node]
+		r, ok := received[u.Record.Node]
 		if !ok && u.Record.live() || ok && u.Record.Newer(r) {
 			missing = append(missing, u)
 		}
--- a/core/member/table.go
+++ b/core/member/table.go
@@ -14,77 +14,84 @@
 )
 
 type (
-	// Table is the membership of the overlay as one node sees it. It is a state
-	// machine for one goroutine: events and times go in, messages come out. Tick
-	// is expected about every 100 ms.
+	// Table is one node's copy of the overlay's membership. It is a state machine for
+	// one goroutine: its methods accept events and the current time and return the
+	// messages to send. Tick has to be called about every 100 ms.
 	Table struct {
 		config Config
 		random *rand.Rand
-		// OnChange, if set, is told of each change of a member's state or target
-		// state with its reason. The earlier record of a new member is empty.
+		// OnChange, if set, is called for each change of a member's state or target
+		// state. The earlier record of a new member is empty.
 		OnChange func(earlier, later Record, reason string)
 
 		// self is the node's own record; it is not in members.
 		self    Record
 		members map[ident.NodeID]*member
-		// ordered holds the values of members in order of node.
+		// ordered holds the values of members in order of node id.
 		ordered []*member
 		// digest is the exclusive or of the hashes of all live records.
-		digest   uint64
+		digest uint64
+		// sequence counts the changes of routing fields.
 		sequence uint64
-		// recordedHeld is the highest version that peers had recorded for the
-		// node itself.
+		// recordedHeld is the highest release version in peers' records of this
+		// node.
 		recordedHeld ident.Version
 
 		rings rings
-		// queue holds the updates that are still to be forwarded, one per node.
-		queue map[ident.NodeID]*queued
-		// quiet is set while updates are merged that need no forwarding.
-		quiet bool
-		// receivedFrom is the sender of the message that is being merged, or
-		// empty. It has the message's updates already.
+		// queue holds the updates to be forwarded, at most one per node.
+		queue map[ident.NodeID]*queuedUpdate
+		// noForwarding is set while updates that need no forwarding are merged.
+		noForwarding bool
+		// receivedFrom is the sender of the message whose updates are being merged,
+		// or empty. The updates are not forwarded to it.
 		receivedFrom ident.NodeID
-		// probes holds the probes without an answer, one per neighbour.
+		// probes holds the unanswered probes, at most one per member.
 		probes map[ident.NodeID]*probe
-		// relays holds the probes sent for others, by their sequence.
-		relays    map[uint64]relay
+		// relays holds the probes sent on behalf of other nodes, by their sequence.
+		relays map[uint64]relay
+		// lastProbe is the sequence of the last probe or relay.
 		lastProbe uint64
+		// nextProbe holds the time of the next probe on each ring.
 		nextProbe [ringCount]clock.Millis
 		lastTick  clock.Millis
 		nextRetry clock.Millis
 		nextSeed  clock.Millis
-		// joinUntil is the end of the time in which several seeds are tried at once.
+		// joinUntil is the end of the period in which several seeds are contacted at
+		// once.
 		joinUntil  clock.Millis
 		nextSync   clock.Millis
 		nextNotice clock.Millis
-		// noticeDue is set while neighbours have not been told of a change of the
-		// own record.
+		// noticeDue is set if the node's own record has changed since the last notice.
 		noticeDue bool
-		// repliesLeft is the number of syncs that may be answered until repliesAt.
-		repliesLeft int
-		repliesAt   clock.Millis
+		// repliesLeft is the number of syncs that may be answered before
+		// repliesResetAt.
+		repliesLeft    int
+		repliesResetAt clock.Millis
 	}
 
-	// member is a record with what the node itself knows about it.
+	// member is the record of another node, together with local state about it.
 	member struct {
 		node ident.NodeID
-		// record is empty until the member is set for the first time.
+		// record is empty until the first call of setRecord.
 		record Record
-		// hashes are the member's positions on the rings.
-		hashes [ringCount]uint64
-		// contribution is the part of the table's digest; 0 unless it is live.
+		// positions are the member's positions on the rings.
+		positions [ringCount]uint64
+		// contribution is the member's part of the table's digest; 0 unless it is
+		// live.
 		contribution uint64
-		// suspectedAt and observers belong to the current suspicion.
+		// suspectedAt and observers are the start of the current suspicion and the
+		// nodes whose probes failed.
 		suspectedAt clock.Millis
 		observers   sets.Set[ident.NodeID]
-		// claimedDead is set if a peer holds the suspect for dead.
-		claimedDead bool
-		// diedAt is when the record became Dead or Left.
-		diedAt clock.Millis
-		// knows is what the member knows of the node itself.
-		knows Known
-		// differsSince is when the member's digest began to differ, or 0.
-		differsSince clock.Millis
+		// reportedDead is set if a peer reported the suspected member as Dead.
+		reportedDead bool
+		// downSince is the time at which the record became Dead or Left.
+		downSince clock.Millis
+		// selfSummary is the member's last summary of its record of this node.
+		selfSummary RecordSummary
+		// digestDiffersSince is the time since which the member's digest differs
+		// from the table's, or 0.
+		digestDiffersSince clock.Millis
 	}
 )
 
@@ -94,15 +101,16 @@
 	t := &Table{
 		config: config, random: random, self: self,
 		members: make(map[ident.NodeID]*member),
-		queue:   make(map[ident.NodeID]*queued),
+		queue:   make(map[ident.NodeID]*queuedUpdate),
 		probes:  make(map[ident.NodeID]*probe),
 		relays:  make(map[uint64]relay),
 	}
 	t.self.State = Alive
-	// An answer to an earlier life must not match a probe of this one.
+	// A random start, so that a late answer to an earlier incarnation does not match
+	// a probe of this one.
 	t.lastProbe = uint64(random.Uint32())
 	t.digest = contribution(t.self)
-	t.rings.place(t.self.Node)
+	t.rings.setNode(t.self.Node)
 	t.enqueue(t.self, "")
 	return t
 }
@@ -112,7 +120,7 @@
 	return t.self
 }
 
-// Records returns all records with the node's own, in order of node.
+// Records returns all records, including the node's own, in order of node id.
 func (t *Table) Records() []Record {
 	out := make([]Record, 0, len(t.ordered)+1)
 	for _, m := range t.ordered {
@@ -134,12 +142,13 @@
 	return m.record, true
 }
 
-// Sequence changes exactly when a routable fact of some record changes.
+// Sequence returns a counter that increases exactly when a field that affects
+// routing changes in some record.
 func (t *Table) Sequence() uint64 {
 	return t.sequence
 }
 
-// Size returns the number of live nodes with the node itself.
+// Size returns the number of live nodes, including the node itself.
 func (t *Table) Size() int {
 	n := 1
 	for _, m := range t.ordered {
@@ -150,70 +159,71 @@
 	return n
 }
 
-// RecordedHeld returns the highest version that peers' records kept for this
-// slot, possibly from before a restart.
+// RecordedHeld returns the highest release version in peers' records of this node,
+// which may date from before a restart.
 func (t *Table) RecordedHeld() ident.Version {
 	return t.recordedHeld
 }
 
-// SetTarget changes the state of the node's target and returns messages that tell
-// the neighbours at once.
+// SetTarget changes the state of the node's target and returns the messages that
+// send the change to the neighbours.
 func (t *Table) SetTarget(now clock.Millis, service ident.ServiceName, target ident.TargetID, state TargetState) []Action {
 	if t.self.Service == service && t.self.Target == target && t.self.TargetState == state {
 		return nil
 	}
 	t.changeSelf(func(r *Record) {
 		r.Service, r.Target, r.TargetState = service, target, state
-		r.Change++
+		r.Revision++
 	}, "target changed")
 	return t.notify(now)
 }
 
-// SetGate changes the life of the node's admission gate.
-func (t *Table) SetGate(now clock.Millis, gate ident.Incarnation) []Action {
+// SetGateIncarnation changes the incarnation of the node's admission gate and returns
+// the messages that send the change to the neighbours.
+func (t *Table) SetGateIncarnation(now clock.Millis, gate ident.Incarnation) []Action {
 	if t.self.GateIncarnation == gate {
 		return nil
 	}
 	t.changeSelf(func(r *Record) {
 		r.GateIncarnation = gate
-		r.Change++
+		r.Revision++
 	}, "gate restarted")
 	return t.notify(now)
 }
 
-// SetHeld records the release version that the node has put in force. It is never
-// lowered.
+// SetHeld records the release version that the node has put in force. It never
+// lowers the recorded version.
 func (t *Table) SetHeld(held ident.Version) {
 	t.self.Held = max(t.self.Held, held)
 }
 
-// Leave marks the node as stopped by its own decision and returns messages that
-// tell the neighbours. The table sends nothing afterwards.
+// Leave marks the node as Left and returns the messages that send the change to the
+// neighbours. The table sends nothing afterwards.
 func (t *Table) Leave(now clock.Millis) []Action {
 	if t.self.State == Left {
 		return nil
 	}
 	t.changeSelf(func(r *Record) {
 		r.State = Left
-		r.Change++
+		r.Revision++
 	}, "left")
 	t.nextNotice = 0
 	return t.notify(now)
 }
 
-// changeSelf changes the own record and queues it.
+// changeSelf changes the node's own record and queues it for forwarding.
 func (t *Table) changeSelf(change func(*Record), reason string) {
 	earlier := t.self
 	change(&t.self)
 	t.digest ^= contribution(earlier) ^ contribution(t.self)
-	t.noteChange(earlier, t.self, reason)
+	t.recordChange(earlier, t.self, reason)
 	t.enqueue(t.self, "")
 	t.noticeDue = true
 }
 
-// noteChange counts a routable change and reports a change of state.
-func (t *Table) noteChange(earlier, later Record, reason string) {
-	if earlier.routableFacts() != later.routableFacts() {
+// recordChange counts a change of routing fields and reports a change of state.
+func (t *Table) recordChange(earlier, later Record, reason string) {
+	if earlier.routingFields() != later.routingFields() {
 		t.sequence++
 	}
 	if t.OnChange != nil && (earlier.Node == "" || earlier.State != later.State || earlier.TargetState != later.TargetState) {
@@ -221,8 +231,8 @@
 	}
 }
 
-// set stores a record of another node.
-func (t *Table) set(now clock.Millis, m *member, r Record, reason string) {
+// setRecord replaces the record of a member.
+func (t *Table) setRecord(now clock.Millis, m *member, r Record, reason string) {
 	earlier := m.record
 	r.Held = max(r.Held, earlier.Held)
 	m.record = r
@@ -233,32 +243,32 @@
 		t.rings.dirty = true
 	}
 	if !r.live() {
-		m.diedAt = now
+		m.downSince = now
 	}
 	if !r.live() || r.Incarnation != earlier.Incarnation {
-		// The earlier life cannot answer.
+		// An earlier incarnation cannot answer.
 		delete(t.probes, r.Node)
 	}
 	if r.State != Suspect {
-		m.observers, m.claimedDead = nil, false
+		m.observers, m.reportedDead = nil, false
 	}
-	t.noteChange(earlier, r, reason)
+	t.recordChange(earlier, r, reason)
 }
 
-// insert adds a member; it returns nil if the table is full.
+// insert adds a member without a record; it returns nil if the table is full.
 func (t *Table) insert(n ident.NodeID) *member {
 	if len(t.members) >= t.config.MaxMembers {
 		return nil
 	}
-	m := &member{node: n, hashes: hashesOf(n)}
+	m := &member{node: n, positions: ringPositions(n)}
 	t.members[n] = m
 	at, _ := slices.BinarySearchFunc(t.ordered, n, compareMember)
 	t.ordered = slices.Insert(t.ordered, at, m)
 	return m
 }
 
-// forget removes a member.
-func (t *Table) forget(n ident.NodeID) {
+// remove removes a member.
+func (t *Table) remove(n ident.NodeID) {
 	at, ok := slices.BinarySearchFunc(t.ordered, n, compareMember)
 	if !ok {
 		return
@@ -269,14 +279,14 @@
 	delete(t.queue, n)
 }
 
-// compareMember orders a member and a node.
+// compareMember compares the node id of a member with n.
 func compareMember(m *member, n ident.NodeID) int {
 	return cmp.Compare(m.node, n)
 }
 
-// contribution returns a live record's part of the table's digest. Suspect counts
-// as Alive, because it is settled soon in one way or the other; dead records do
-// not count, because nodes forget them at different times.
+// contribution returns a live record's part of the table's digest. Suspect counts as
+// Alive, because a suspicion is soon refuted or confirmed. Dead and Left records do not
+// count, because nodes remove them at different times.
 func contribution(r Record) uint64 {
 	if !r.live() {
 		return 0
@@ -284,6 +294,6 @@
 	var buffer [128]byte
 	b := append(buffer[:0], r.Node...)
 	b = binary.BigEndian.AppendUint64(b, uint64(r.Incarnation))
-	b = binary.BigEndian.AppendUint64(b, r.Change)
+	b = binary.BigEndian.AppendUint64(b, r.Revision)
 	return xxhash.Sum64(b)
 }
--- a/core/member/update.go
+++ b/core/member/update.go
@@ -8,26 +8,27 @@
 	"hickoryrail/core/sets"
 )
 
-// quietFactor is the growth of the table from which a SyncReply counts as joining.
-const quietFactor = 2
+// joinGrowthFactor is the ratio of updates to table size above which a SyncReply is
+// part of joining.
+const joinGrowthFactor = 2
 
-// Receive handles a message. The transport has verified from; the content of the
-// message does not name its sender.
+// Receive handles a message and returns the messages to send. The transport has
+// authenticated from; the message itself does not contain its sender.
 func (t *Table) Receive(now clock.Millis, from ident.NodeID, m Message) []Action {
 	if from == t.self.Node || !m.Valid() {
 		return nil
 	}
-	t.learnKnown(m.Known)
+	t.applySummary(m.Receiver)
 	t.receivedFrom = from
-	// A node that has just joined learns the fleet and need not tell it.
-	t.quiet = m.Kind == SyncReply && len(m.Updates) > quietFactor*t.Size()
+	// A node that has just joined receives records that the other nodes have already.
+	t.noForwarding = m.Kind == SyncReply && len(m.Updates) > joinGrowthFactor*t.Size()
 	for _, u := range m.Updates {
 		t.apply(now, from, u)
 	}
-	t.quiet, t.receivedFrom = false, ""
+	t.noForwarding, t.receivedFrom = false, ""
 	sender := t.members[from]
 	if sender != nil {
-		sender.knows = m.Known
+		sender.selfSummary = m.Receiver
 		sender.record.Held = max(sender.record.Held, m.Held)
 	}
 	if t.self.State == Left {
@@ -43,26 +44,26 @@
 	return out
 }
 
-// handle answers a message by its kind.
+// handle processes a message according to its kind.
 func (t *Table) handle(now clock.Millis, from ident.NodeID, m Message) []Action {
 	switch m.Kind {
 	case Probe:
 		return []Action{t.reply(ProbeAck, from, m.Sequence)}
 	case ProbeAck:
-		return t.acknowledged(from, m)
+		return t.handleAck(from, m)
 	case IndirectProbe:
 		return t.relay(now, from, m)
 	case Sync:
 		return t.answerSync(now, from, m)
 	case SyncReply:
-		return t.completeSync(from, m)
+		return t.answerSyncReply(from, m)
 	case Notice:
 	}
 	return nil
 }
 
-// reply returns a message to a node that may be unknown; then an open connection
-// must carry it.
+// reply returns a message to a node that may not be a member; then its address is
+// unknown and an open connection must carry the message.
 func (t *Table) reply(kind Kind, to ident.NodeID, sequence uint64) Action {
 	if m := t.members[to]; m != nil {
 		return t.send(kind, m, sequence)
@@ -70,61 +71,62 @@
 	return Action{To: to, Message: t.message(kind, to, sequence)}
 }
 
-// learnKnown compares what a peer knows of the node itself with the truth.
-func (t *Table) learnKnown(k Known) {
+// applySummary compares a peer's summary of this node with the node's own record, and
+// refutes the summary if it is wrong.
+func (t *Table) applySummary(k RecordSummary) {
 	t.recordedHeld = max(t.recordedHeld, k.Held)
-	t.refute(k.Incarnation, k.Change, k.State)
+	t.refute(k.Incarnation, k.Revision, k.State)
 }
 
-// refute raises the own incarnation above a record that the node did not make in
-// this life, or that holds it for suspect, dead or left.
+// refute raises the node's own incarnation above that of a record that this
+// incarnation did not create, or that has the node as Suspect, Dead or Left.
 func (t *Table) refute(incarnation ident.Incarnation, change uint64, state State) {
 	if t.self.State == Left || incarnation < t.self.Incarnation {
 		return
 	}
-	foreign := incarnation > t.self.Incarnation || change > t.self.Change
-	if !foreign && (state == Alive || change < t.self.Change) {
+	foreign := incarnation > t.self.Incarnation || change > t.self.Revision
+	if !foreign && (state == Alive || change < t.self.Revision) {
 		return
 	}
 	t.changeSelf(func(r *Record) {
 		r.Incarnation = incarnation + 1
-		r.Change = 0
+		r.Revision = 0
 	}, "refuted")
 }
 
-// apply merges an update of a peer into the table.
+// apply merges an update from a peer into the table.
 func (t *Table) apply(now clock.Millis, from ident.NodeID, u Update) {
 	r := u.Record
 	if r.Node == t.self.Node {
 		t.recordedHeld = max(t.recordedHeld, r.Held)
-		t.refute(r.Incarnation, r.Change, r.State)
+		t.refute(r.Incarnation, r.Revision, r.State)
 		return
 	}
 	m := t.members[r.Node]
 	if m == nil {
-		// A death of an unknown node changes nothing.
+		// An unknown node that is Dead or Left is not added.
 		if r.live() {
-			t.adopt(now, r, u.Observer)
+			t.join(now, r, u.Observer)
 		}
 		return
 	}
 	m.record.Held = max(m.record.Held, r.Held)
 	switch {
 	case r.State == Dead && m.record.live() && !m.record.Newer(r):
-		t.claimDead(now, m, from, r)
-	case r.State == Suspect && m.record.State == Suspect && r.sameLife(m.record):
+		t.handleDeadReport(now, m, from, r)
+	case r.State == Suspect && m.record.State == Suspect && r.sameRevision(m.record):
 		t.confirm(m, u.Observer)
 	case !r.Newer(m.record):
 	case r.State == Suspect:
 		t.suspect(now, m, r, u.Observer, "suspected by a peer")
 	default:
-		t.set(now, m, r, "told by a peer")
+		t.setRecord(now, m, r, "told by a peer")
 		t.enqueue(m.record, "")
 	}
 }
 
-// adopt adds an unknown live node.
-func (t *Table) adopt(now clock.Millis, r Record, observer ident.NodeID) {
+// join adds a live node that the table does not contain yet.
+func (t *Table) join(now clock.Millis, r Record, observer ident.NodeID) {
 	m := t.insert(r.Node)
 	if m == nil {
 		return
@@ -133,21 +135,21 @@
 		t.suspect(now, m, r, observer, "suspected by a peer")
 		return
 	}
-	t.set(now, m, r, "joined")
+	t.setRecord(now, m, r, "joined")
 	t.enqueue(r, "")
 }
 
-// suspect makes a member Suspect and starts its timeout.
+// suspect changes a member to Suspect and starts its suspicion timeout.
 func (t *Table) suspect(now clock.Millis, m *member, r Record, observer ident.NodeID, reason string) {
 	r.State = Suspect
-	t.set(now, m, r, reason)
+	t.setRecord(now, m, r, reason)
 	m.suspectedAt = now
 	m.observers = sets.Of(observer)
-	m.claimedDead = false
+	m.reportedDead = false
 	t.enqueue(m.record, observer)
 }
 
-// confirm counts a further observer of a suspicion.
+// confirm adds an observer to a suspicion and forwards it.
 func (t *Table) confirm(m *member, observer ident.NodeID) {
 	if observer == "" || len(m.observers) >= ringCount || !m.observers.Add(observer) {
 		return
@@ -155,42 +157,43 @@
 	t.enqueue(m.record, observer)
 }
 
-// claimDead handles a peer's claim that a member is dead. The claim counts as a
-// confirmed suspicion and not as a death: two regions that meet again hold each
-// other's members for dead, and those must have time to refute it before their
+// handleDeadReport handles a peer's report that a member is Dead. The report counts as
+// a confirmed suspicion and not as Dead: after a partition between two regions, each
+// has the other's members as Dead, and these must have time to refute it before their
 // own region stops routing to them.
-func (t *Table) claimDead(now clock.Millis, m *member, from ident.NodeID, r Record) {
-	if m.record.State == Alive || !r.sameLife(m.record) {
+func (t *Table) handleDeadReport(now clock.Millis, m *member, from ident.NodeID, r Record) {
+	if m.record.State == Alive || !r.sameRevision(m.record) {
 		t.suspect(now, m, r, from, "held for dead by a peer")
 	}
-	m.claimedDead = true
+	m.reportedDead = true
 }
 
-// expire declares suspects dead after their timeout and forgets old dead records.
+// expire changes suspected members to Dead after their timeout and removes old Dead
+// and Left records.
 func (t *Table) expire(now clock.Millis) {
-	var forgotten []ident.NodeID
+	var expired []ident.NodeID
 	for _, m := range t.ordered {
 		switch {
-		case m.record.State == Suspect && now-m.suspectedAt >= t.suspicion(m):
+		case m.record.State == Suspect && now-m.suspectedAt >= t.suspicionTimeout(m):
 			r := m.record
 			r.State = Dead
-			t.set(now, m, r, "suspicion not refuted")
+			t.setRecord(now, m, r, "suspicion not refuted")
 			t.enqueue(r, "")
-		case !m.record.live() && now-m.diedAt >= t.config.DeadMillis:
-			forgotten = append(forgotten, m.record.Node)
+		case !m.record.live() && now-m.downSince >= t.config.DeadMillis:
+			expired = append(expired, m.record.Node)
 		}
 	}
-	for _, n := range forgotten {
-		t.forget(n)
+	for _, n := range expired {
+		t.remove(n)
 	}
 }
 
-// suspicion returns the time from Suspect to Dead. It shrinks from the maximum to
-// the minimum as the logarithm of the number of independent observers.
-func (t *Table) suspicion(m *member) clock.Millis {
+// suspicionTimeout returns the time from Suspect to Dead. It falls from the maximum to
+// the minimum with the logarithm of the number of independent observers.
+func (t *Table) suspicionTimeout(m *member) clock.Millis {
 	possible := min(ringCount, len(t.members)) - 1
 	further := min(len(m.observers)-1, possible)
-	if m.claimedDead || possible <= 0 {
+	if m.reportedDead || possible <= 0 {
 		return t.config.SuspectMinMillis
 	}
 	share := math.Log2(float64(further+1)) / math.Log2(float64(possible+1))
--- a/io/bench/member.go
+++ b/io/bench/member.go
@@ -144,7 +144,7 @@
 // send delivers a message of a neighbour, with copies of updates.
 func (d *memberDriver) send(now clock.Millis, from ident.NodeID, m member.Message) error {
 	self := d.table.Self()
-	m.Known = member.Known{Incarnation: self.Incarnation, Change: self.Change, Held: self.Held}
+	m.Receiver = member.RecordSummary{Incarnation: self.Incarnation, Revision: self.Revision, Held: self.Held}
 	m.Digest, m.Held = d.digest, self.Held
 	// A neighbour puts at most 6 records on a message, as the table itself does.
 	k := min(6, len(d.pending))
@@ -170,7 +170,7 @@
 	for now := memberTick; now <= clock.Millis(seconds)*clock.Second; now += memberTick {
 		for due += churn * float64(memberTick/clock.Second); due >= 1; due-- {
 			r := &d.records[1+d.random.IntN(len(d.records)-1)]
-			r.Change++
+			r.Revision++
 			for range copies {
 				d.pending = append(d.pending, *r)
 			}
--- a/io/node/fleet.go
+++ b/io/node/fleet.go
@@ -193,7 +193,7 @@
 func (f *fleet) size(region ident.Region) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.table.SizeOf(region)
+	return f.table.RegionSize(region)
 }
 
 // limits returns the slots and connections of a service's targets. A service
--- a/io/wire/control_test.go
+++ b/io/wire/control_test.go
@@ -37,12 +37,12 @@
 	record := member.Record{
 		Node: "n1", Incarnation: 1_700_000_000_000, State: member.Suspect, PeerAddress: "10.0.0.1:7000",
 		FailureDomain: "a", Region: "r", Service: "orders", Target: "t1", TargetState: member.Ready,
-		Change: 3, GateIncarnation: 1_700_000_000_001, Held: 7,
+		Revision: 3, GateIncarnation: 1_700_000_000_001, Held: 7,
 	}
 	return []Control{
 		{Member: &member.Message{
 			Kind: member.Probe, Sequence: 5, Digest: 1 << 63, Held: 7,
-			Known:   member.Known{Incarnation: 4, Change: 2, State: member.Dead, Held: 6},
+			Receiver:   member.RecordSummary{Incarnation: 4, Revision: 2, State: member.Dead, Held: 6},
 			Updates: []member.Update{{Record: record, Observer: "n2"}},
 		}},
 		{Member: &member.Message{Kind: member.IndirectProbe, Target: "n3", Address: "10.0.0.3:7000"}},
