--- a/core/codec/codec.go
+++ b/core/codec/codec.go
@@ -1,18 +1,18 @@
-// Package codec provides the strict CBOR modes and the packing of hickoryrail's own
+// Package codec provides the strict CBOR modes and the compression of hickoryrail's own
 // formats.
 package codec
 
 import "github.com/fxamacker/cbor/v2"
 
-// Limits bound what a decoder accepts; a zero field takes the library's default.
+// Limits bound what a decoder accepts; a zero field means the library's default.
 type Limits struct {
 	// Elements bounds each list and each map.
 	Elements int
-	// Depth bounds the nesting.
+	// Depth bounds the nesting of lists and maps.
 	Depth int
 }
 
-// NewEncoder returns a mode that writes one byte string for equal values.
+// NewEncoder returns a mode with deterministic encoding: equal values have equal bytes.
 func NewEncoder() cbor.EncMode {
 	mode, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
@@ -21,7 +21,7 @@
 	return mode
 }
 
-// NewDecoder returns a mode that refuses unknown fields, duplicate keys, tags,
+// NewDecoder returns a mode that rejects unknown fields, duplicate keys, tags,
 // indefinite lengths and trailing bytes.
 func NewDecoder(l Limits) cbor.DecMode {
 	mode, err := cbor.DecOptions{
@@ -34,7 +34,7 @@
 		MaxNestedLevels:   l.Depth,
 	}.DecMode()
 	if err != nil {
-		panic(err) // the limits are constants of the callers
+		panic(err) // the callers pass constant limits
 	}
 	return mode
 }
--- a/core/kernel/kernel.go
+++ b/core/kernel/kernel.go
@@ -1,5 +1,5 @@
 // Package kernel provides the micro-kernel of a node: services register under a
-// name, find each other by it, and are started and stopped in order.
+// name, look each other up by name, and are started and stopped in order.
 package kernel
 
 import (
@@ -14,20 +14,20 @@
 
 	// Service is a part of a node that the kernel starts and stops.
 	Service interface {
-		// Start makes the service ready and returns without blocking. The
-		// service may find the services that were registered before it.
+		// Start makes the service ready and returns without blocking. It may look
+		// up the services that were registered before this one.
 		Start(ctx context.Context, k *Kernel) error
-		// Stop ends the service gracefully, within the life of ctx.
+		// Stop shuts the service down gracefully before ctx ends.
 		Stop(ctx context.Context) error
 	}
 
-	// Kernel holds the services of one node. Registration, Start and Stop belong
-	// to one goroutine; Find is safe once Start has returned.
+	// Kernel holds the services of one node. Register, Start and Stop must be called
+	// from one goroutine; Find is safe for concurrent use once Start has returned.
 	Kernel struct {
 		// order lists the names in registration order; each is a key of services.
 		order    []Name
 		services map[Name]Service
-		// started counts the services of order that are running.
+		// started is the number of running services, the first ones of order.
 		started int
 	}
 )
@@ -37,8 +37,8 @@
 	return &Kernel{services: make(map[Name]Service)}
 }
 
-// Register adds a service. It returns an error if the name is taken or the
-// kernel is running.
+// Register adds a service. It returns an error if the name is in use or services are
+// running.
 func (k *Kernel) Register(name Name, s Service) error {
 	if k.started > 0 {
 		return fmt.Errorf("kernel: cannot register %q while services run", name)
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// Find returns the service with that name as a T. It returns an error if there
-// is none or if it is of another type.
+// Find returns the service with that name as a T. It returns an error if there is no
+// such service or if it is of another type.
 func Find[T any](k *Kernel, name Name) (T, error) {
 	var none T
 	s, ok := k.services[name]
@@ -66,8 +66,8 @@
 	return t, nil
 }
 
-// Start starts the services in registration order. After a failure it stops
-// those that run and returns the error.
+// Start starts the services in registration order. If one fails to start, it stops
+// the running services and returns the error.
 func (k *Kernel) Start(ctx context.Context) error {
 	for _, name := range k.order {
 		if err := k.services[name].Start(ctx, k); err != nil {
--- a/core/kernel/kernel_test.go
+++ b/core/kernel/kernel_test.go
@@ -8,18 +8,19 @@
 	"github.com/matryer/is"
 )
 
-type fake struct {
-	name  Name
-	log   *[]string
-	fault error
+// fakeService records its start and its stop in log.
+type fakeService struct {
+	name     Name
+	log      *[]string
+	startErr error
 }
 
-func (f *fake) Start(context.Context, *Kernel) error {
+func (f *fakeService) Start(context.Context, *Kernel) error {
 	*f.log = append(*f.log, "start "+string(f.name))
-	return f.fault
+	return f.startErr
 }
 
-func (f *fake) Stop(context.Context) error {
+func (f *fakeService) Stop(context.Context) error {
 	*f.log = append(*f.log, "stop "+string(f.name))
 	return nil
 }
@@ -30,13 +31,13 @@
 	is := is.New(t)
 	var log []string
 	k := New()
-	is.NoErr(k.Register("a", &fake{name: "a", log: &log}))
-	is.NoErr(k.Register("b", &fake{name: "b", log: &log, fault: errors.New("port taken")}))
-	is.True(k.Register("a", &fake{}) != nil)
+	is.NoErr(k.Register("a", &fakeService{name: "a", log: &log}))
+	is.NoErr(k.Register("b", &fakeService{name: "b", log: &log, startErr: errors.New("port taken")}))
+	is.True(k.Register("a", &fakeService{}) != nil)
 	is.True(k.Start(context.Background()) != nil)
 	is.Equal(log, []string{"start a", "start b", "stop a"})
-	_, err := Find[*fake](k, "a")
+	_, err := Find[*fakeService](k, "a")
 	is.NoErr(err)
-	_, err = Find[*fake](k, "c")
+	_, err = Find[*fakeService](k, "c")
 	is.True(err != nil)
 }
--- a/core/member/probe.go
+++ b/core/member/probe.go
@@ -217,23 +217,23 @@
 // live members are skipped: contacting them gains nothing, and a connection to a node
 // that is not a neighbour costs a handshake.
 func (t *Table) randomMissingSeed() (Seed, bool) {
-	lost := t.missingSeeds()
-	if len(lost) == 0 {
+	missing := t.missingSeeds()
+	if len(missing) == 0 {
 		return Seed{}, false
 	}
-	return lost[t.random.IntN(len(lost))], true
+	return missing[t.random.IntN(len(missing))], true
 }
 
 // missingSeeds returns the seeds that are not live members.
 func (t *Table) missingSeeds() []Seed {
-	var lost []Seed
+	var missing []Seed
 	for _, s := range t.config.Seeds {
 		m := t.members[s.Node]
 		if s.Node != t.self.Node && (m == nil || !m.record.live()) {
-			lost = append(lost, s)
+			missing = append(missing, s)
 		}
 	}
-	return lost
+	return missing
 }
 
 // jitter returns d changed at random by up to 25% up or down.
--- a/core/member/seed.go
+++ b/core/member/seed.go
@@ -38,10 +38,10 @@
 
 // contactSeeds requests all records from a few random seeds that are not live members.
 func (t *Table) contactSeeds() []Action {
-	lost := t.missingSeeds()
-	t.random.Shuffle(len(lost), func(i, j int) { lost[i], lost[j] = lost[j], lost[i] })
+	missing := t.missingSeeds()
+	t.random.Shuffle(len(missing), func(i, j int) { missing[i], missing[j] = missing[j], missing[i] })
 	var out []Action
-	for _, s := range lost[:min(len(lost), joinSeedCount)] {
+	for _, s := range missing[:min(len(missing), joinSeedCount)] {
 		out = append(out, Action{To: s.Node, Address: s.Address, Message: t.message(Sync, s.Node, 0)})
 	}
 	return out
--- a/core/member/table.go
+++ b/core/member/table.go
@@ -20,8 +20,8 @@
 	Table struct {
 		config Config
 		random *rand.Rand
-		// OnChange, if set, is called for each change of a member's state or target
-		// state. The earlier record of a new member is empty.
+		// OnChange, if set, is called with the reason for each change of a member's
+		// state or target state. The earlier record of a new member is empty.
 		OnChange func(earlier, later Record, reason string)
 
 		// self is the node's own record; it is not in members.
--- a/core/member/update.go
+++ b/core/member/update.go
@@ -20,7 +20,8 @@
 	}
 	t.applySummary(m.Receiver)
 	t.receivedFrom = from
-	// A node that has just joined receives records that the other nodes have already.
+	// The records that a joining node receives need no forwarding; the other nodes
+	// have them already.
 	t.noForwarding = m.Kind == SyncReply && len(m.Updates) > joinGrowthFactor*t.Size()
 	for _, u := range m.Updates {
 		t.apply(now, from, u)
--- a/core/spread/fetch.go
+++ b/core/spread/fetch.go
@@ -138,7 +138,7 @@
 	}
 	n.serving[from] = now
 	if n.body == nil {
-		n.body = codec.Pack(model.EncodeRelease(n.held))
+		n.body = codec.Compress(model.EncodeRelease(n.held))
 	}
 	sum := ident.Sum(n.body)
 	return []Action{n.send(from, Message{
@@ -197,7 +197,7 @@
 	if sum := ident.Sum(m.Body); !bytes.Equal(sum[:], m.Sum) {
 		return model.Release{}, errSum
 	}
-	body, err := codec.Unpack(m.Body, maxReleaseBytes)
+	body, err := codec.Decompress(m.Body, maxReleaseBytes)
 	if err != nil {
 		return model.Release{}, err
 	}
--- a/core/spread/node_test.go
+++ b/core/spread/node_test.go
@@ -130,7 +130,7 @@
 
 // snapshot returns a whole release as a message.
 func snapshot(r model.Release) Message {
-	body := codec.Pack(model.EncodeRelease(r))
+	body := codec.Compress(model.EncodeRelease(r))
 	sum := ident.Sum(body)
 	return Message{Kind: SnapshotBody, Version: r.Version, Digest: r.Digest, Body: body, Sum: sum[:]}
 }
--- a/io/admin/target.go
+++ b/io/admin/target.go
@@ -43,7 +43,7 @@
 
 	// Report is one statement of a target with the order that the target gives it.
 	Report struct {
-		report.Statement
+		report.Status
 		// Announcement describes the target; it is empty in a goodbye.
 		Announcement Announcement
 		// Slots is the number of requests that the target runs at the same time.
--- a/io/node/hosted_test.go
+++ b/io/node/hosted_test.go
@@ -183,7 +183,7 @@
 // statement returns a report of a target.
 func statement(id ident.TargetID, address string, sequence uint64) admin.Report {
 	return admin.Report{
-		Statement:    report.Statement{Target: id, Born: 1, Sequence: sequence},
+		Status:       report.Status{Target: id, StartedAt: 1, Sequence: sequence},
 		Announcement: admin.Announcement{Target: id, Service: "orders", Address: address},
 		Slots:        2,
 	}
--- a/io/node/request_test.go
+++ b/io/node/request_test.go
@@ -114,7 +114,7 @@
 	forged, err := model.NewRelease(9, "forged", configuration(1, "orders"))
 	is.NoErr(err)
 	forged.Configuration = configuration(1, "catalogue") // no longer of this digest
-	body := codec.Pack(model.EncodeRelease(forged))
+	body := codec.Compress(model.EncodeRelease(forged))
 	sum := ident.Sum(body)
 	snapshot, err := wire.EncodeControl(wire.Control{Spread: &spread.Message{
 		Kind: spread.SnapshotBody, Version: 9, Digest: forged.Digest, Body: body, Sum: sum[:],
--- a/io/node/targets.go
+++ b/io/node/targets.go
@@ -45,21 +45,21 @@
 	// between the ledger and its effect. It is held before mu.
 	reports sync.Mutex
 	// ledger orders the numbered statements.
-	ledger report.Ledger
+	ledger report.Tracker
 }
 
 // Report takes a numbered statement of a target.
 func (t *targets) Report(r admin.Report) error {
 	t.reports.Lock()
 	defer t.reports.Unlock()
-	switch t.ledger.Take(r.Statement) {
+	switch t.ledger.Apply(r.Status) {
 	case report.Started:
 		return t.announce(r.Announcement, r.Slots)
 	case report.Renewed:
 		return t.renewOrAnnounce(r)
-	case report.Drained:
+	case report.Draining:
 		return ignoreUnknown(t.Drain(r.Target))
-	case report.Gone:
+	case report.Left:
 		return ignoreUnknown(t.Leave(r.Target))
 	}
 	return nil
@@ -193,7 +193,7 @@
 	if t.announced.Target == "" || t.clock.Now()-t.renewedAt < t.renewal {
 		return
 	}
-	t.ledger.Lapse()
+	t.ledger.Expire()
 	t.remove("renewal overdue")
 }
 
--- a/io/wire/control_test.go
+++ b/io/wire/control_test.go
@@ -42,8 +42,8 @@
 	return []Control{
 		{Member: &member.Message{
 			Kind: member.Probe, Sequence: 5, Digest: 1 << 63, Held: 7,
-			Receiver:   member.RecordSummary{Incarnation: 4, Revision: 2, State: member.Dead, Held: 6},
-			Updates: []member.Update{{Record: record, Observer: "n2"}},
+			Receiver: member.RecordSummary{Incarnation: 4, Revision: 2, State: member.Dead, Held: 6},
+			Updates:  []member.Update{{Record: record, Observer: "n2"}},
 		}},
 		{Member: &member.Message{Kind: member.IndirectProbe, Target: "n3", Address: "10.0.0.3:7000"}},
 		{Member: &member.Message{Kind: member.Sync, Sequence: 1 << 60, Buckets: make([]byte, 512)}},
