--- a/core/member/network_test.go
+++ b/core/member/network_test.go
@@ -133,8 +133,8 @@
 
 // deliver delivers the packets that are due, including answers that become due.
 func (net *network) deliver() {
-	for again := true; again; {
-		again = false
+	for delivered := true; delivered; {
+		delivered = false
 		due := net.inFlight
 		net.inFlight = nil
 		for _, p := range due {
@@ -149,7 +149,7 @@
 				net.inFlight = append(net.inFlight, p)
 				continue
 			}
-			again = true
+			delivered = true
 			net.send(p.To, h.table.Receive(net.now+h.skew, p.from, p.Message))
 		}
 	}
--- a/core/member/table.go
+++ b/core/member/table.go
@@ -267,7 +267,7 @@
 	return m
 }
 
-// remove removes a member.
+// remove removes a member and its queued update.
 func (t *Table) remove(n ident.NodeID) {
 	at, ok := slices.BinarySearchFunc(t.ordered, n, compareMember)
 	if !ok {
--- a/core/member/update.go
+++ b/core/member/update.go
@@ -74,19 +74,19 @@
 
 // applySummary compares a peer's summary of this node with the node's own record, and
 // refutes the summary if it is wrong.
-func (t *Table) applySummary(k RecordSummary) {
-	t.recordedHeld = max(t.recordedHeld, k.Held)
-	t.refute(k.Incarnation, k.Revision, k.State)
+func (t *Table) applySummary(s RecordSummary) {
+	t.recordedHeld = max(t.recordedHeld, s.Held)
+	t.refute(s.Incarnation, s.Revision, s.State)
 }
 
 // refute raises the node's own incarnation above that of a record that this
 // incarnation did not create, or that has the node as Suspect, Dead or Left.
-func (t *Table) refute(incarnation ident.Incarnation, change uint64, state State) {
+func (t *Table) refute(incarnation ident.Incarnation, revision uint64, state State) {
 	if t.self.State == Left || incarnation < t.self.Incarnation {
 		return
 	}
-	foreign := incarnation > t.self.Incarnation || change > t.self.Revision
-	if !foreign && (state == Alive || change < t.self.Revision) {
+	foreign := incarnation > t.self.Incarnation || revision > t.self.Revision
+	if !foreign && (state == Alive || revision < t.self.Revision) {
 		return
 	}
 	t.changeSelf(func(r *Record) {
