--- a/core/spread/fetch.go
+++ b/core/spread/fetch.go
@@ -142,7 +142,7 @@
 	}
 	n.serving[from] = now
 	if n.heldBody == nil {
-		n.heldBody = codec.Pack(model.EncodeRelease(n.held))
+		n.heldBody = codec.Compress(model.EncodeRelease(n.held))
 	}
 	sum := ident.Sum(n.heldBody)
 	return []Action{n.send(from, Message{
@@ -204,7 +204,7 @@
 	if sum := ident.Sum(m.Body); !bytes.Equal(sum[:], m.Sum) {
 		return model.Release{}, errChecksum
 	}
-	body, err := codec.Unpack(m.Body, maxReleaseBytes)
+	body, err := codec.Decompress(m.Body, maxReleaseBytes)
 	if err != nil {
 		return model.Release{}, err
 	}
