--- a/core/route/histogram.go
+++ b/core/route/histogram.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	// buckets is the number of classes of delay.
-	buckets = 64
-	// bucketLeast is the upper bound of the first bucket in milliseconds.
-	bucketLeast = 0.1
-	// bucketGrowth is the ratio of neighbouring bounds; the last is above 120 s.
-	bucketGrowth = 1.25
-	// halveAt is the number of samples at which all counts are halved, so that
-	// old delays fade.
-	halveAt = 512
-	// leastSamples is the number of samples below which there is no quantile.
-	leastSamples = 20
+	// bucketCount is the number of buckets of a histogram.
+	bucketCount = 64
+	// firstBound is the upper bound of the first bucket, in milliseconds.
+	firstBound = 0.1
+	// boundRatio is the ratio of consecutive bounds; the last bound is above 120 s.
+	boundRatio = 1.25
+	// halvingCount is the number of samples at which all counts are halved, so that
+	// old delays lose weight.
+	halvingCount = 512
+	// minSamples is the least number of samples for a quantile.
+	minSamples = 20
 )
 
-// histogram counts delays in buckets of constant ratio.
+// histogram counts delays in buckets whose bounds grow exponentially.
 type histogram struct {
-	counts [buckets]uint32
+	counts [bucketCount]uint32
 	// total is the sum of counts.
 	total uint32
 }
@@ -30,12 +30,12 @@
 // add counts one delay.
 func (h *histogram) add(d clock.Millis) {
 	i := 0
-	if d > bucketLeast {
-		i = min(int(math.Ceil(math.Log(float64(d)/bucketLeast)/math.Log(bucketGrowth))), buckets-1)
+	if d > firstBound {
+		i = min(int(math.Ceil(math.Log(float64(d)/firstBound)/math.Log(boundRatio))), bucketCount-1)
 	}
 	h.counts[i]++
 	h.total++
-	if h.total < halveAt {
+	if h.total < halvingCount {
 		return
 	}
 	h.total = 0
@@ -46,17 +46,17 @@
 }
 
 // quantile95 returns the upper bound of the bucket that holds the 95th
-// percentile, or 0 with too few samples.
+// percentile, or 0 if there are fewer than minSamples samples.
 func (h *histogram) quantile95() clock.Millis {
-	if h.total < leastSamples {
+	if h.total < minSamples {
 		return 0
 	}
 	above := uint32(0)
-	for i := buckets - 1; i > 0; i-- {
+	for i := bucketCount - 1; i > 0; i-- {
 		above += h.counts[i]
 		if above*20 > h.total {
-			return clock.Millis(bucketLeast * math.Pow(bucketGrowth, float64(i)))
+			return clock.Millis(firstBound * math.Pow(boundRatio, float64(i)))
 		}
 	}
-	return bucketLeast
+	return firstBound
 }
--- a/core/route/picker.go
+++ b/core/route/picker.go
@@ -15,45 +15,48 @@
 const (
 	// MaxSubset bounds the targets of one service that a picker considers.
 	MaxSubset = 16
-	// maxEvents bounds the ejection events that wait to be read; older ones are
-	// overwritten.
+	// maxEvents bounds the ejection events that Events has not returned yet; the
+	// oldest ones are overwritten.
 	maxEvents = 64
 )
 
 // Reasons of a choice.
 const (
-	// ReasonOnly marks the one candidate that was left.
+	// ReasonOnly means that only one candidate was eligible.
 	ReasonOnly = "only candidate"
-	// ReasonScore marks the lower score of two candidates.
+	// ReasonScore means that the candidate had the lower score of two.
 	ReasonScore = "lower score of two candidates"
-	// ReasonDomain marks a candidate that won by its failure domain.
+	// ReasonDomain means that the candidate won because of its failure domain.
 	ReasonDomain = "nearer failure domain"
-	// ReasonSlowStart marks a candidate that won because the other one is new.
+	// ReasonSlowStart means that the candidate won because the other one is in slow
+	// start.
 	ReasonSlowStart = "other candidate is in slow start"
-	// ReasonStale marks a candidate that had no call for long.
+	// ReasonStale means that the candidate had no call for Limits.StaleMillis.
 	ReasonStale = "no recent call"
-	// ReasonNoTargets says that the service has no targets.
+	// ReasonNoTargets means that the service has no targets.
 	ReasonNoTargets = "service has no targets"
-	// ReasonExhausted says that every target left is excluded or ejected.
+	// ReasonExhausted means that all targets are excluded or ejected.
 	ReasonExhausted = "no other target left"
 )
 
 type (
-	// Limits are the settings of a Picker; a zero field takes its default.
+	// Limits are the settings of a Picker; a zero field means the default.
 	Limits struct {
 		// Subset is the number of targets per service, at most MaxSubset.
 		Subset int
 		// EjectAfter is the number of consecutive failures that ejects a target.
 		EjectAfter int
-		// EjectMillis is the time of the first ejection; it doubles with each one.
+		// EjectMillis is the duration of the first ejection; it doubles with each one.
 		EjectMillis clock.Millis
-		// EjectMaxMillis bounds the time of an ejection.
+		// EjectMaxMillis bounds the duration of an ejection.
 		EjectMaxMillis clock.Millis
-		// SlowStartMillis is the time in which a new target's share grows to full.
+		// SlowStartMillis is the time in which a new target's share of the traffic
+		// grows to its full value.
 		SlowStartMillis clock.Millis
-		// ReportMillis is the age at which a load report counts half.
+		// ReportMillis is the age at which a load report has weight 0.5.
 		ReportMillis clock.Millis
-		// IdleMillis is the time without calls after which own evidence counts half.
+		// IdleMillis is the time without calls after which the measured delay and
+		// failure rate have weight 0.5.
 		IdleMillis clock.Millis
 		// StaleMillis is the time without calls after which a target gets one
 		// whatever its score.
@@ -62,7 +65,7 @@
 		DomainFactor float64
 		// RegionFactor multiplies the score of a target in another region.
 		RegionFactor float64
-		// LocalPair adds two candidates of the own failure domain to the two
+		// LocalPair adds two candidates of this node's failure domain to the two
 		// random ones.
 		LocalPair bool
 	}
@@ -80,10 +83,11 @@
 		Limits Limits
 
 		services map[ident.ServiceName]*group
-		// targets keeps a target that left the view while calls are in flight.
-		targets map[ident.TargetID]*evidence
-		events  [maxEvents]Event
-		// written counts events; read counts those that were returned.
+		// targets also holds targets that left the view, until removeDeparted.
+		targets map[ident.TargetID]*endpoint
+		// events is a ring buffer of which written%maxEvents is the next position.
+		events [maxEvents]Event
+		// written counts all events; read counts those that Events has returned.
 		written, read int
 	}
 
@@ -94,19 +98,20 @@
 		Reason string
 	}
 
-	// Outcome is what an attempt showed of its target.
+	// Outcome is the outcome of an attempt.
 	Outcome struct {
 		// Delay is the time from sending to the answer or the failure.
 		Delay   clock.Millis
 		Verdict result.Verdict
-		// Failed says that the target or the way to it failed. A refusal by a
+		// Failed means that the target or the path to it failed. A refusal by a
 		// full or draining gate is not a failure.
 		Failed bool
-		// Load is the gate's report if HasLoad.
+		// Load is the gate's load report; valid if HasLoad.
 		Load    admit.Load
 		HasLoad bool
-		// Gate is the gate that the attempt was addressed to. An outcome of an
-		// earlier gate ends the call but is no evidence; 0 means the present one.
+		// Gate is the incarnation of the gate that the attempt was addressed to. The
+		// outcome of an earlier incarnation ends the call but is not counted for the
+		// target; 0 means the present incarnation.
 		Gate ident.Incarnation
 	}
 
@@ -123,7 +128,7 @@
 	}
 )
 
-// DefaultLimits returns the limits that stand for zero fields.
+// DefaultLimits returns the defaults of all fields of Limits.
 func DefaultLimits() Limits {
 	return Limits{
 		Subset: MaxSubset, EjectAfter: 3, EjectMillis: clock.Second, EjectMaxMillis: clock.Minute,
@@ -133,27 +138,27 @@
 	}
 }
 
-// SetView replaces the targets. Evidence of a target that stays, or returns
-// while its calls are in flight, is kept.
+// SetView replaces the targets. It keeps the state of targets that stay, and of those
+// that return within Limits.EjectMaxMillis or while calls to them are in flight.
 func (p *Picker) SetView(now clock.Millis, v *view.View) {
 	first := p.services == nil
 	if first {
 		p.Limits = p.Limits.orDefaults()
 		p.services = make(map[ident.ServiceName]*group)
-		p.targets = make(map[ident.TargetID]*evidence)
+		p.targets = make(map[ident.TargetID]*endpoint)
 	}
 	for _, e := range p.targets {
 		e.present = false
 	}
-	known := v.Release().Configuration.Inventory.Services
-	for _, s := range known {
+	services := v.Release().Configuration.Inventory.Services
+	for _, s := range services {
 		g := p.services[s.Name]
 		if g == nil {
 			g = &group{name: s.Name}
 			p.services[s.Name] = g
 		}
 		g.slots = max(int(s.Slots), 1)
-		p.fill(now, g, v.Targets(s.Name))
+		p.setCandidates(now, g, v.Targets(s.Name))
 	}
 	for name, g := range p.services {
 		if _, ok := v.Service(name); !ok {
@@ -161,35 +166,35 @@
 			delete(p.services, name)
 		}
 	}
-	p.forget(now)
+	p.removeDeparted(now)
 }
 
-// fill sets a group's candidates to its subset of the targets.
-func (p *Picker) fill(now clock.Millis, g *group, targets []view.Target) {
-	established := len(g.candidates) == 0
+// setCandidates sets a group's candidates to its subset of the targets.
+func (p *Picker) setCandidates(now clock.Millis, g *group, targets []view.Target) {
+	wasEmpty := len(g.candidates) == 0
 	g.candidates = g.candidates[:0]
 	for _, t := range p.subset(targets) {
 		e := p.targets[t.ID]
 		switch {
 		case e == nil:
-			e = &evidence{started: now, seenAt: now, chosenAt: now}
-			if established {
-				// Without established targets to prefer there is nothing to ramp up against.
-				e.started = now - p.Limits.SlowStartMillis
+			e = &endpoint{slowStartAt: now, sampledAt: now, pickedAt: now}
+			if wasEmpty {
+				// Slow start needs earlier targets that take the traffic, and there are none.
+				e.slowStartAt = now - p.Limits.SlowStartMillis
 			}
 			p.targets[t.ID] = e
 		case e.target.Gate != t.Gate:
 			e.restart(now)
 		}
 		e.target, e.group, e.present, e.leftAt = t, g, true, clock.Forever
-		e.factor = p.factor(t)
+		e.distanceFactor = p.distanceFactor(t)
 		g.candidates = append(g.candidates, e)
 	}
-	p.restoreFloor(now, g)
+	p.limitEjected(now, g)
 }
 
-// factor returns the multiplier of the score for the target's distance.
-func (p *Picker) factor(t view.Target) float64 {
+// distanceFactor returns the factor of the score for the distance to a target.
+func (p *Picker) distanceFactor(t view.Target) float64 {
 	switch {
 	case t.FailureDomain == p.FailureDomain:
 		return 1
@@ -200,9 +205,9 @@
 	}
 }
 
-// forget drops the evidence of targets that left, once no call is in flight and
-// the longest ejection could have ended.
-func (p *Picker) forget(now clock.Millis) {
+// removeDeparted deletes the state of targets that left the view, once no call is in
+// flight and the longest possible ejection has passed.
+func (p *Picker) removeDeparted(now clock.Millis) {
 	for id, e := range p.targets {
 		if !e.present {
 			e.leftAt = min(e.leftAt, now)
@@ -214,21 +219,21 @@
 }
 
 // Pick chooses a target and counts a call in flight to it, which Done ends. It
-// returns false if exclude and ejections leave none; the caller can then pick
-// without exclude after a back-off. It allocates nothing.
+// returns false if all targets are excluded or ejected; the caller can then pick
+// without exclude after a backoff. It allocates nothing.
 func (p *Picker) Pick(now clock.Millis, service ident.ServiceName, exclude []ident.TargetID) (Choice, bool) {
 	g := p.services[service]
 	if g == nil || len(g.candidates) == 0 {
 		return Choice{Reason: ReasonNoTargets}, false
 	}
-	var open [MaxSubset]*evidence
+	var eligible [MaxSubset]*endpoint
 	n := 0
 	for _, e := range g.candidates {
 		if e.ejected && now >= e.ejectedUntil {
 			p.readmit(now, e, "ejection time is over")
 		}
 		if !e.ejected && !slices.Contains(exclude, e.target.ID) {
-			open[n] = e
+			eligible[n] = e
 			n++
 		}
 	}
@@ -236,18 +241,18 @@
 	case 0:
 		return Choice{Reason: ReasonExhausted}, false
 	case 1:
-		return open[0].choose(now, ReasonOnly), true
+		return eligible[0].startCall(now, ReasonOnly), true
 	}
-	i, j := p.pair(n)
-	best, reason := p.better(now, g, open[i], open[j])
+	i, j := p.randomPair(n)
+	best, reason := p.better(now, g, eligible[i], eligible[j])
 	if p.Limits.LocalPair {
-		best, reason = p.local(now, g, open[:n], best, reason)
+		best, reason = p.compareLocal(now, g, eligible[:n], best, reason)
 	}
-	return best.choose(now, reason), true
+	return best.startCall(now, reason), true
 }
 
-// pair returns two different numbers below n, which is at least 2.
-func (p *Picker) pair(n int) (int, int) {
+// randomPair returns two different numbers below n, which is at least 2.
+func (p *Picker) randomPair(n int) (int, int) {
 	i := p.Rand.IntN(n)
 	j := p.Rand.IntN(n - 1)
 	if j >= i {
@@ -256,25 +261,26 @@
 	return i, j
 }
 
-// local compares the best of a random pair of all candidates with that of a random
-// pair of the own failure domain, so that a near candidate is always considered.
-func (p *Picker) local(now clock.Millis, g *group, open []*evidence, best *evidence, reason string) (*evidence, string) {
-	var near [MaxSubset]*evidence
+// compareLocal compares the better one of a random pair of all candidates with that of
+// a random pair of this node's failure domain, so that a near candidate is always
+// considered.
+func (p *Picker) compareLocal(now clock.Millis, g *group, eligible []*endpoint, best *endpoint, reason string) (*endpoint, string) {
+	var near [MaxSubset]*endpoint
 	n := 0
-	for _, e := range open {
+	for _, e := range eligible {
 		if e.target.FailureDomain == p.FailureDomain {
 			near[n] = e
 			n++
 		}
 	}
-	var other *evidence
+	var other *endpoint
 	switch {
 	case n == 0 || reason == ReasonStale:
 		return best, reason
 	case n == 1:
 		other = near[0]
 	default:
-		i, j := p.pair(n)
+		i, j := p.randomPair(n)
 		other, _ = p.better(now, g, near[i], near[j])
 	}
 	if other == best {
@@ -283,12 +289,12 @@
 	return p.better(now, g, best, other)
 }
 
-// better returns the better one of two candidates and why.
-func (p *Picker) better(now clock.Millis, g *group, a, b *evidence) (*evidence, string) {
-	wa, wb := p.share(now, a), p.share(now, b)
+// better returns the better one of two candidates and the reason.
+func (p *Picker) better(now clock.Millis, g *group, a, b *endpoint) (*endpoint, string) {
+	wa, wb := p.trafficShare(now, a), p.trafficShare(now, b)
 	if wa < 1 || wb < 1 {
-		// A share below 1 is the chance to take part in the comparison, so that
-		// a new target gets that part of its full traffic whatever its score.
+		// A share below 1 is the probability of being compared at all, so that a
+		// new target gets that share of its full traffic whatever its score.
 		inA, inB := p.Rand.Float64() < wa, p.Rand.Float64() < wb
 		switch {
 		case inA && !inB:
@@ -304,7 +310,7 @@
 		return b, ReasonStale
 	}
 	sa, sb := p.score(now, g, a), p.score(now, g, b)
-	if sb*b.factor < sa*a.factor {
+	if sb*b.distanceFactor < sa*a.distanceFactor {
 		a, b, sa, sb = b, a, sb, sa
 	}
 	if sa > sb {
@@ -313,15 +319,15 @@
 	return a, ReasonScore
 }
 
-// Done ends a call and takes its outcome as evidence. A target without calls in
-// flight is left alone.
+// Done ends a call and updates the target's state with its outcome. It does nothing
+// for a target without calls in flight.
 func (p *Picker) Done(now clock.Millis, target ident.TargetID, o Outcome) {
 	e := p.targets[target]
 	if e == nil || e.inFlight == 0 {
 		return
 	}
 	e.inFlight--
-	e.quietSince = now
+	e.noOutcomeSince = now
 	if !e.present || (o.Gate != 0 && o.Gate != e.target.Gate) {
 		return
 	}
@@ -330,16 +336,16 @@
 	}
 	switch {
 	case o.Failed:
-		p.failed(now, e, o)
+		p.recordFailure(now, e, o)
 	case o.Verdict == result.NotRun:
-		e.refused(now)
+		e.recordRefusal(now)
 	default:
-		e.succeeded(now, o.Delay, p.Limits)
+		e.recordSuccess(now, o.Delay, p.Limits)
 	}
 }
 
-// Delay95 returns the 95th percentile of the recent delays of answered calls, or
-// 0 while there are too few of them.
+// Delay95 returns the 95th percentile of the recent delays of a service's answered
+// calls, or 0 while there are too few of them.
 func (p *Picker) Delay95(service ident.ServiceName) clock.Millis {
 	g := p.services[service]
 	if g == nil {
@@ -365,7 +371,7 @@
 	return out
 }
 
-// orDefaults replaces zero fields and bounds the subset.
+// orDefaults replaces zero fields by their defaults and bounds Subset.
 func (l Limits) orDefaults() Limits {
 	d := DefaultLimits()
 	orDefault(&l.Subset, d.Subset)
@@ -382,7 +388,7 @@
 	return l
 }
 
-// orDefault sets v if it is not positive.
+// orDefault sets v to d if it is not positive.
 func orDefault[T int | float64 | clock.Millis](v *T, d T) {
 	if *v <= 0 {
 		*v = d
--- a/core/route/picker_test.go
+++ b/core/route/picker_test.go
@@ -38,8 +38,8 @@
 	}}, records)
 }
 
-// viewSize returns a view of n targets of the service orders.
-func viewSize(n int) *view.View {
+// viewOfSize returns a view of n targets of the service orders.
+func viewOfSize(n int) *view.View {
 	records := make([]member.Record, n)
 	for i := range records {
 		records[i] = record("orders", i, 1)
@@ -54,12 +54,12 @@
 	}
 }
 
-// TestSubsetHasEveryDomain guards against a subset that depends on one failure
-// domain or exceeds its bound.
+// TestSubsetHasEveryDomain guards against a subset that lacks a failure domain or
+// exceeds its bound.
 func TestSubsetHasEveryDomain(t *testing.T) {
 	is := is.New(t)
 	p := newPicker(1)
-	p.SetView(0, viewSize(200))
+	p.SetView(0, viewOfSize(200))
 	seen := map[ident.FailureDomain]int{}
 	for _, e := range p.services["orders"].candidates {
 		seen[e.target.FailureDomain]++
@@ -74,7 +74,7 @@
 func TestRefusalIsLoadNotFailure(t *testing.T) {
 	is := is.New(t)
 	p := newPicker(1)
-	p.SetView(0, viewSize(4))
+	p.SetView(0, viewOfSize(4))
 	for range 100 {
 		c, ok := p.Pick(1, "orders", nil)
 		is.True(ok)
@@ -83,12 +83,12 @@
 	is.Equal(len(p.Events(nil)), 0)
 }
 
-// TestEjectionDoubles guards against a failing target that returns at a constant
-// rate.
+// TestEjectionDoubles guards against ejections of a failing target that don't get
+// longer.
 func TestEjectionDoubles(t *testing.T) {
 	is := is.New(t)
 	p := newPicker(1)
-	p.SetView(0, viewSize(4))
+	p.SetView(0, viewOfSize(4))
 	now := clock.Millis(0)
 	for range 100_000 {
 		now += 2
@@ -107,14 +107,14 @@
 	is.True(last >= 4*clock.Second)
 }
 
-// TestHangingTargetLosesCalls guards against sending calls to a target that has
-// given no outcome, until the first of them reaches its deadline. The other
-// targets answer after 40 ms and have calls in flight as well.
+// TestHangingTargetLosesCalls guards against sending calls to a target that answers
+// none of them, until the first one reaches its deadline. The other targets answer
+// after 40 ms and have calls in flight as well.
 func TestHangingTargetLosesCalls(t *testing.T) {
 	is := is.New(t)
 	p := newPicker(1)
-	p.SetView(0, viewSize(4))
-	hung := 0
+	p.SetView(0, viewOfSize(4))
+	hangingCalls := 0
 	var open []ident.TargetID
 	for now := clock.Millis(0); now < 500; now += 2 {
 		if len(open) == 20 {
@@ -122,23 +122,25 @@
 			open = open[1:]
 		}
 		if c, _ := p.Pick(now, "orders", nil); c.Target.ID == "orders-00" {
-			hung++
+			hangingCalls++
 		} else {
 			open = append(open, c.Target.ID)
 		}
 	}
-	is.True(hung > 0)
-	is.True(hung <= 14) // of an even share of 62; own calls in flight alone leave more than 16
+	is.True(hangingCalls > 0)
+	// An even share is 62 calls; the number of calls in flight alone leaves more than 16.
+	is.True(hangingCalls <= 14)
 }
 
-// TestLocalPair guards against bytes between failure domains that bring nothing: among
-// equal targets nearly all calls stay near, and a near target that is slow loses them.
+// TestLocalPair guards against needless traffic between failure domains: among equal
+// targets nearly all calls stay in this node's domain, and a slow target there loses
+// them.
 func TestLocalPair(t *testing.T) {
 	is := is.New(t)
 	near := func(slow clock.Millis) int {
 		p := newPicker(1)
 		p.Limits = Limits{DomainFactor: 3, LocalPair: true, StaleMillis: 5 * clock.Second}
-		p.SetView(0, viewSize(8)) // two of eight targets are in the own failure domain
+		p.SetView(0, viewOfSize(8)) // two of eight targets are in this node's failure domain
 		n := 0
 		for now := clock.Millis(0); now < 20_000; now += 10 {
 			c, ok := p.Pick(now, "orders", nil)
@@ -153,5 +155,5 @@
 		return n
 	}
 	is.True(near(10) > 1900)  // of 2000
-	is.True(near(100) < 1000) // a far target is tried after StaleMillis
+	is.True(near(100) < 1000) // a distant target is tried after StaleMillis
 }
--- a/core/route/split.go
+++ b/core/route/split.go
@@ -8,18 +8,18 @@
 )
 
 type (
-	// Split distributes the requests of split routes by weight, with the smooth
-	// weighted round robin: after n requests, each part has got its share of n to
-	// within one request. It is not safe for concurrent use.
+	// Split distributes the requests of split routes by weight, with smooth weighted
+	// round robin: after n requests, each part has received its share of n to within
+	// one request. It is not safe for concurrent use.
 	Split struct {
 		// routes maps a route to the state of its parts.
-		routes map[ident.RouteName]*split
+		routes map[ident.RouteName]*splitState
 	}
 
-	// split is the state of one route.
-	split struct {
+	// splitState is the state of one route.
+	splitState struct {
 		parts []model.Part
-		// credit is what each part is owed in units of weight; the sum is 0.
+		// credit is the current weight of each part; the sum is 0 between requests.
 		credit []int
 	}
 )
@@ -30,27 +30,28 @@
 		return r.Service
 	}
 	if s.routes == nil {
-		s.routes = make(map[ident.RouteName]*split)
+		s.routes = make(map[ident.RouteName]*splitState)
 	}
 	state := s.routes[r.Name]
 	if state == nil || !slices.Equal(state.parts, r.Parts) {
-		state = &split{parts: r.Parts, credit: make([]int, len(r.Parts))}
+		state = &splitState{parts: r.Parts, credit: make([]int, len(r.Parts))}
 		s.routes[r.Name] = state
 	}
 	return state.next()
 }
 
-// Keep forgets the routes for which has is false.
-func (s *Split) Keep(has func(ident.RouteName) bool) {
+// Keep removes the state of the routes for which exists returns false.
+func (s *Split) Keep(exists func(ident.RouteName) bool) {
 	for name := range s.routes {
-		if !has(name) {
+		if !exists(name) {
 			delete(s.routes, name)
 		}
 	}
 }
 
-// next credits every part with its weight and charges the one with the most.
-func (s *split) next() ident.ServiceName {
+// next adds its weight to the credit of every part, and returns the service of the part
+// with the most credit after deducting the total weight from it.
+func (s *splitState) next() ident.ServiceName {
 	total, best := 0, -1
 	for i, p := range s.parts {
 		s.credit[i] += p.Weight
@@ -60,7 +61,7 @@
 		}
 	}
 	if best < 0 {
-		return s.parts[0].Service // a valid route has a weight above 0
+		return s.parts[0].Service // not reached: a valid route has a weight above 0
 	}
 	s.credit[best] -= total
 	return s.parts[best].Service
--- a/core/route/split_test.go
+++ b/core/route/split_test.go
@@ -10,9 +10,9 @@
 	"hickoryrail/core/model"
 )
 
-// TestSplitKeepsShares guards against a part that gets more or less than its
-// weight: after any number of requests, the difference is below the number of
-// parts.
+// TestSplitKeepsShares guards against a part that gets more or fewer requests than its
+// weight gives it: after any number of requests, the difference is at most the number
+// of parts.
 func TestSplitKeepsShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(0, 100), 1, 5).Draw(t, "weights")
@@ -37,7 +37,7 @@
 	})
 }
 
-// TestSplitFollowsConfiguration guards against the use of earlier weights after a
+// TestSplitFollowsConfiguration guards against earlier weights that are used after a
 // change, and against state that is kept for removed routes.
 func TestSplitFollowsConfiguration(t *testing.T) {
 	is := is.New(t)
--- a/core/route/subset.go
+++ b/core/route/subset.go
@@ -16,9 +16,9 @@
 	hash   uint64
 }
 
-// subset returns at most Limits.Subset targets. Up to half of them are from the
-// own failure domain; the others are taken from each other domain in turn, so
-// that every domain is present and capacity elsewhere stays in reach.
+// subset returns at most Limits.Subset targets. Up to half of them are from this
+// node's failure domain; the others come from the other domains in turn, so that
+// every domain is present and its capacity can be used.
 func (p *Picker) subset(targets []view.Target) []view.Target {
 	if len(targets) <= p.Limits.Subset {
 		return targets
@@ -38,7 +38,7 @@
 			}
 		}
 	}
-	// The own domain fills the places that the other ones cannot.
+	// This node's domain fills the places that the other ones can't.
 	for _, r := range own[quota:min(len(own), quota+p.Limits.Subset-len(out))] {
 		out = append(out, r.target)
 	}
@@ -46,10 +46,10 @@
 }
 
 // byDomain returns the targets of each failure domain in order of hash, and the
-// other domains, those of the own region first.
+// domains other than this node's, those of its region first.
 func (p *Picker) byDomain(targets []view.Target) (map[ident.FailureDomain][]ranked, []ident.FailureDomain) {
 	domains := make(map[ident.FailureDomain][]ranked)
-	rank := make(map[ident.FailureDomain]int)
+	regionRank := make(map[ident.FailureDomain]int)
 	var names []ident.FailureDomain
 	for _, t := range targets {
 		if _, ok := domains[t.FailureDomain]; !ok {
@@ -57,7 +57,7 @@
 				names = append(names, t.FailureDomain)
 			}
 			if t.Region != p.Region {
-				rank[t.FailureDomain] = 1
+				regionRank[t.FailureDomain] = 1
 			}
 		}
 		r := ranked{target: t, hash: p.hash(string(t.ID))}
@@ -66,10 +66,10 @@
 	for _, list := range domains {
 		slices.SortFunc(list, func(a, b ranked) int { return cmp.Compare(a.hash, b.hash) })
 	}
-	// The order within a rank is by hash as well: with more domains than places,
+	// Domains of one rank are ordered by hash: with more domains than places,
 	// different nodes leave out different ones.
 	slices.SortFunc(names, func(a, b ident.FailureDomain) int {
-		return cmp.Or(cmp.Compare(rank[a], rank[b]), cmp.Compare(p.hash(string(a)), p.hash(string(b))))
+		return cmp.Or(cmp.Compare(regionRank[a], regionRank[b]), cmp.Compare(p.hash(string(a)), p.hash(string(b))))
 	})
 	return domains, names
 }
--- a/io/proxy/attempt.go
+++ b/io/proxy/attempt.go
@@ -90,7 +90,7 @@
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	others := len(c.view.Targets(c.route.Service)) - len(c.tried)
-	return in.Search.Looks(c.route.Service, c.state.Looks, max(others, 0))
+	return in.Search.ShouldFailFast(c.route.Service, c.state.Looks, max(others, 0))
 }
 
 // attempt sends one attempt to the chosen gate and reports its outcome to the
@@ -129,7 +129,7 @@
 	in.mu.Lock()
 	in.Picker.Done(now, choice.Target.ID, o)
 	if r.Looks && o.Verdict != result.MayHaveRun {
-		in.Search.Looked(c.route.Service, resp.Reason != admit.ReasonBusy)
+		in.Search.Record(c.route.Service, resp.Reason != admit.ReasonBusy)
 	}
 	in.drainEvents()
 	in.mu.Unlock()
--- a/io/proxy/ingress.go
+++ b/io/proxy/ingress.go
@@ -93,7 +93,7 @@
 		Store  plat.Store
 		Limits Limits
 		// Search, if set, lets attempts look for a free slot before they wait.
-		Search *route.Search
+		Search *route.FailFastPolicy
 		// Dialect is what callers and targets speak.
 		Dialect Dialect
 		// Service is that of the target beside the node, where its requests begin.
