--- a/core/once/atmostonce_test.go
+++ b/core/once/atmostonce_test.go
@@ -62,7 +62,7 @@
 		request  string
 		claim    *Claim
 		policy   *retry.Policy
-		attempt  retry.Attempt
+		attempt  retry.CallState
 		current  ident.RequestID
 		crashed  bool
 		forwards int
@@ -149,8 +149,8 @@
 func (w *world) submit(name, key, request string) *submission {
 	s := &submission{w: w, name: name, key: key, request: request}
 	s.policy = &retry.Policy{Budget: &retry.Budget{PerSecond: 1e6}, Rand: rand.New(rand.NewPCG(1, uint64(len(name))))}
-	s.policy.Budget.Call(w.now)
-	s.attempt = retry.Attempt{Route: model.Route{MaxAttempts: 3}, Deadline: w.now + 5000}
+	s.policy.Budget.RecordCall(w.now)
+	s.attempt = retry.CallState{Route: model.Route{MaxAttempts: 3}, Deadline: w.now + 5000}
 	if key == "" {
 		s.forward()
 		return s
--- a/core/once/explore_test.go
+++ b/core/once/explore_test.go
@@ -59,7 +59,7 @@
 		// running are the attempts that a target works on, with the life of the gate.
 		running []packet
 		ran     int
-		attempt retry.Attempt
+		attempt retry.CallState
 		policy  *retry.Policy
 		// gate and addressed are those of the present attempt.
 		gate      int
@@ -89,8 +89,8 @@
 		m.gates[i] = &Fence{Gate: ident.Incarnation(10*i + 10)}
 	}
 	m.policy = &retry.Policy{Budget: &retry.Budget{PerSecond: 1e6}, Rand: rand.New(rand.NewPCG(1, 1))}
-	m.policy.Budget.Call(0)
-	m.attempt = retry.Attempt{Route: model.Route{MaxAttempts: m.bounds.attempts}, Deadline: 5000}
+	m.policy.Budget.RecordCall(0)
+	m.attempt = retry.CallState{Route: model.Route{MaxAttempts: m.bounds.attempts}, Deadline: 5000}
 	m.send()
 	return m
 }
--- a/core/retry/policy.go
+++ b/core/retry/policy.go
@@ -11,18 +11,18 @@
 const (
 	// DefaultMaxAttempts bounds the attempts of one call on every route.
 	DefaultMaxAttempts = 3
-	// DefaultBaseMillis is the mean back-off before the first retry.
-	DefaultBaseMillis clock.Millis = 4
-	// DefaultMaxMillis bounds a back-off.
-	DefaultMaxMillis clock.Millis = 250
-	// maxRefusals bounds the attempts of a call that gates refused. Each costs a
-	// way to a node but no work of a target.
+	// DefaultBaseBackoffMillis is the mean backoff before the first retry.
+	DefaultBaseBackoffMillis clock.Millis = 4
+	// DefaultMaxBackoffMillis bounds a backoff.
+	DefaultMaxBackoffMillis clock.Millis = 250
+	// maxRefusals bounds the attempts of a call that gates refuse, without fail-fast
+	// ones. A refusal costs a round trip to a node but no work of a target.
 	maxRefusals = 3
-	// failureShare is the part of the goal that must be left for another attempt
-	// after a failure.
-	failureShare = 0.5
-	// DefaultLeastMillis is the time that an attempt needs at least.
-	DefaultLeastMillis clock.Millis = 1
+	// minGoalFraction is the fraction of the response-time goal that must be left
+	// before the deadline for another attempt after a failure.
+	minGoalFraction = 0.5
+	// DefaultMinAttemptMillis is the least time before the deadline for an attempt.
+	DefaultMinAttemptMillis clock.Millis = 1
 )
 
 const (
@@ -30,9 +30,10 @@
 	Finish Kind = iota
 	// Retry sends an attempt to another target at the decision's instant.
 	Retry
-	// Hedge sends an attempt to another target now, beside the outstanding one.
+	// Hedge sends an attempt to another target now, in parallel with the outstanding
+	// one.
 	Hedge
-	// Wait leaves the call to its outstanding attempts.
+	// Wait sends no attempt: the outstanding attempts decide the call.
 	Wait
 )
 
@@ -52,21 +53,22 @@
 )
 
 type (
-	// Kind says what to do with a call.
+	// Kind is the next step of a call.
 	Kind uint8
 
-	// Attempt is the state of one call at its ingress.
-	Attempt struct {
+	// CallState is the state of one call at its ingress, over all its attempts.
+	CallState struct {
 		Route model.Route
 		// Sent counts the attempts so far, hedges included.
 		Sent int
-		// Arrivals counts the attempts that got to a target, or may have.
+		// Arrivals counts the attempts that reached a target, or may have.
 		Arrivals int
-		// Looks counts the attempts that only looked for a free slot and found none.
-		Looks int
+		// FastRefusals counts the fail-fast attempts that were refused because no slot
+		// was free.
+		FastRefusals int
 		// Outstanding counts the attempts without an outcome.
 		Outstanding int
-		// Uncertain says that an earlier attempt's verdict was MayHaveRun.
+		// Uncertain reports whether an attempt's verdict was MayHaveRun.
 		Uncertain bool
 		// SentAt is the instant of the last attempt.
 		SentAt clock.Millis
@@ -74,13 +76,13 @@
 		Deadline clock.Millis
 	}
 
-	// Decision says what to do with a call and why.
+	// Decision is the next step of a call and its reason.
 	Decision struct {
 		Kind Kind
 		// At is the instant of a retry; before the deadline.
 		At clock.Millis
-		// Verdict is that of the whole call if Kind is Finish: NotRun only if no
-		// attempt can have run.
+		// Verdict is the verdict of the whole call if Kind is Finish. It is NotRun only
+		// if no attempt can have run.
 		Verdict result.Verdict
 		// Reason is a constant phrase.
 		Reason string
@@ -88,28 +90,30 @@
 
 	// Policy decides on retries and hedges. It is not safe for concurrent use.
 	Policy struct {
-		// Budget bounds the extra attempts of all calls; required unless there is a
-		// Share.
+		// Budget bounds the extra attempts of all calls; required if WindowBudget is
+		// nil.
 		Budget *Budget
-		// Share, if set, bounds the repeated arrivals at targets instead. Attempts
-		// that a gate refused are then free, up to maxRefusals for each call.
-		Share *Share
-		// RetryFailures sends an idempotent request again whose target answered with
-		// a failure, if there is time to answer it well.
+		// WindowBudget, if set, replaces Budget and bounds the repeated arrivals at
+		// targets. Attempts that a gate refused are then free, up to maxRefusals for
+		// each call.
+		WindowBudget *WindowBudget
+		// RetryFailures retries an idempotent request whose target answered with a
+		// failure, if the time to the deadline is at least half of the route's
+		// response-time goal.
 		RetryFailures bool
-		// Rand spreads the back-off; required.
+		// Rand is the source of the jitter of the backoff; required.
 		Rand *rand.Rand
-		// MaxAttempts bounds the attempts of a call together with its route; 0
-		// means DefaultMaxAttempts.
+		// MaxAttempts bounds the attempts of a call, as does its route; the lower bound
+		// applies. 0 means DefaultMaxAttempts.
 		MaxAttempts int
-		// BaseMillis is the mean back-off before the first retry; it doubles
-		// with each one. 0 means DefaultBaseMillis.
-		BaseMillis clock.Millis
-		// MaxMillis bounds a back-off; 0 means DefaultMaxMillis.
-		MaxMillis clock.Millis
-		// LeastMillis is the time that an attempt needs before the deadline; 0
-		// means DefaultLeastMillis.
-		LeastMillis clock.Millis
+		// BaseBackoffMillis is the mean backoff before the first retry; it doubles
+		// with each one. 0 means DefaultBaseBackoffMillis.
+		BaseBackoffMillis clock.Millis
+		// MaxBackoffMillis bounds a backoff; 0 means DefaultMaxBackoffMillis.
+		MaxBackoffMillis clock.Millis
+		// MinAttemptMillis is the least time before the deadline for an attempt; 0
+		// means DefaultMinAttemptMillis.
+		MinAttemptMillis clock.Millis
 	}
 )
 
@@ -122,170 +126,174 @@
 }
 
 // Start counts an attempt that is being sent.
-func (a *Attempt) Start(now clock.Millis) {
-	a.Sent++
-	a.Outstanding++
-	a.SentAt = now
+func (s *CallState) Start(now clock.Millis) {
+	s.Sent++
+	s.Outstanding++
+	s.SentAt = now
 }
 
-// End counts the verdict of an attempt. The caller then asks Decide.
-func (a *Attempt) End(v result.Verdict) {
-	a.Outstanding--
-	a.Uncertain = a.Uncertain || v == result.MayHaveRun
+// End records the verdict of an attempt. The caller then calls Decide.
+func (s *CallState) End(v result.Verdict) {
+	s.Outstanding--
+	s.Uncertain = s.Uncertain || v == result.MayHaveRun
 }
 
-// Decide returns what follows from the verdict of an attempt that has ended, after
-// End has counted it.
-func (p *Policy) Decide(now clock.Millis, a Attempt, v result.Verdict) Decision {
+// Decide returns the next step of a call after an attempt that ended with verdict v
+// and that End has recorded.
+func (p *Policy) Decide(now clock.Millis, s CallState, v result.Verdict) Decision {
 	switch v {
 	case result.Ran:
 		return Decision{Kind: Finish, Verdict: result.Ran, Reason: ReasonAnswered}
 	case result.NotRun:
-		if a.Outstanding > 0 {
+		if s.Outstanding > 0 {
 			return Decision{Kind: Wait, Reason: ReasonOutstanding}
 		}
-		return p.again(now, a, 1, ReasonNotRun)
+		return p.retry(now, s, 1, ReasonNotRun)
 	}
-	a.Uncertain = true
-	if !a.Route.Idempotent {
-		return finish(a, ReasonMayHaveRun)
+	s.Uncertain = true
+	if !s.Route.Idempotent {
+		return finish(s, ReasonMayHaveRun)
 	}
-	if a.Outstanding > 0 {
+	if s.Outstanding > 0 {
 		return Decision{Kind: Wait, Reason: ReasonOutstanding}
 	}
-	return p.again(now, a, repeatTokens, ReasonIdempotent)
+	return p.retry(now, s, repeatCost, ReasonIdempotent)
 }
 
-// AfterFailure returns what follows from an answer that reports a failure of the
-// target. The caller of a request that ends has that answer.
-func (p *Policy) AfterFailure(now clock.Millis, a Attempt) Decision {
+// AfterFailure returns the next step of a call after an answer that reports a failure
+// of the target. If it is Finish, the caller gets that answer.
+func (p *Policy) AfterFailure(now clock.Millis, s CallState) Decision {
 	answered := Decision{Kind: Finish, Verdict: result.Ran, Reason: ReasonAnswered}
-	if !p.RetryFailures || !a.Route.Idempotent || a.Outstanding > 0 {
+	if !p.RetryFailures || !s.Route.Idempotent || s.Outstanding > 0 {
 		return answered
 	}
-	if a.Deadline-now < a.Route.GoalMillis*failureShare {
+	if s.Deadline-now < s.Route.GoalMillis*minGoalFraction {
 		return answered
 	}
-	d := p.again(now, a, repeatTokens, ReasonFailed)
+	d := p.retry(now, s, repeatCost, ReasonFailed)
 	if d.Kind != Retry {
 		return answered
 	}
 	return d
 }
 
-// again returns a retry for a price if attempts, time and budget allow one.
-func (p *Policy) again(now clock.Millis, a Attempt, tokens float64, reason string) Decision {
-	if p.used(a) {
-		return finish(a, ReasonAttempts)
+// retry returns a Retry if the bound on attempts, the deadline and the budget allow
+// one, and otherwise Finish. cost is in tokens of Budget.
+func (p *Policy) retry(now clock.Millis, s CallState, cost float64, reason string) Decision {
+	if p.exhausted(s) {
+		return finish(s, ReasonAttempts)
 	}
-	at := now + p.backOff(a.Sent)
-	if p.Share != nil && a.Arrivals == 0 {
-		at = now // another gate may be free, and no target has been burdened
+	at := now + p.backoff(s.Sent)
+	if p.WindowBudget != nil && s.Arrivals == 0 {
+		at = now // no backoff: no target was loaded, and another gate may be free
 	}
-	if at+orDefault(p.LeastMillis, DefaultLeastMillis) > a.Deadline {
-		return finish(a, ReasonDeadline)
+	if at+orDefault(p.MinAttemptMillis, DefaultMinAttemptMillis) > s.Deadline {
+		return finish(s, ReasonDeadline)
 	}
-	if !p.take(now, a, tokens) {
-		return finish(a, ReasonBudget)
+	if !p.takeRepeat(now, s, cost) {
+		return finish(s, ReasonBudget)
 	}
 	return Decision{Kind: Retry, At: at, Reason: reason}
 }
 
-// used reports whether a call has no attempt left.
-func (p *Policy) used(a Attempt) bool {
-	if p.Share == nil {
-		return a.Sent >= p.attempts(a.Route)
+// exhausted reports whether a call has no attempt left.
+func (p *Policy) exhausted(s CallState) bool {
+	if p.WindowBudget == nil {
+		return s.Sent >= p.maxAttempts(s.Route)
 	}
-	return a.Arrivals >= p.attempts(a.Route) || a.Sent-a.Arrivals-a.Looks >= maxRefusals
+	return s.Arrivals >= p.maxAttempts(s.Route) || s.Sent-s.Arrivals-s.FastRefusals >= maxRefusals
 }
 
-// take pays for another attempt.
-func (p *Policy) take(now clock.Millis, a Attempt, tokens float64) bool {
+// takeRepeat takes the cost of another attempt from the budget and reports whether it
+// was available. With a WindowBudget, a call that has reached no target pays nothing.
+func (p *Policy) takeRepeat(now clock.Millis, s CallState, cost float64) bool {
 	switch {
-	case p.Share == nil:
-		return p.Budget.Take(now, tokens)
-	case a.Arrivals == 0:
+	case p.WindowBudget == nil:
+		return p.Budget.Take(now, cost)
+	case s.Arrivals == 0:
 		return true
 	}
-	return p.Share.Take(now, a.Route.Service)
+	return p.WindowBudget.Take(now, s.Route.Service)
 }
 
-// Begin counts a call that begins; repeated says that a repeated request makes it.
-func (p *Policy) Begin(now clock.Millis, r model.Route, repeated bool) {
-	if p.Share == nil {
-		p.Budget.Call(now)
+// RecordCall counts a new call in the budget. repeated means that the call is made by a
+// request that was itself retried; it then counts as a repeated arrival in a WindowBudget.
+func (p *Policy) RecordCall(now clock.Millis, r model.Route, repeated bool) {
+	if p.WindowBudget == nil {
+		p.Budget.RecordCall(now)
 		return
 	}
-	p.Share.Request(now, r.Service)
+	p.WindowBudget.RecordRequest(now, r.Service)
 	if repeated {
-		p.Share.Spend(now, r.Service)
+		p.WindowBudget.RecordRepeat(now, r.Service)
 	}
 }
 
-// finish ends a call without an answer.
-func finish(a Attempt, reason string) Decision {
+// finish returns the decision that ends a call without an answer.
+func finish(s CallState, reason string) Decision {
 	v := result.NotRun
-	if a.Uncertain || a.Outstanding > 0 {
+	if s.Uncertain || s.Outstanding > 0 {
 		v = result.MayHaveRun
 	}
 	return Decision{Kind: Finish, Verdict: v, Reason: reason}
 }
 
 // HedgeAt returns the instant at which Hedge is due for a call with one attempt
-// outstanding. It is false if the route allows no hedge or the delay of 95 in
-// 100 calls is needed and unknown (0).
-func (p *Policy) HedgeAt(a Attempt, delay95 clock.Millis) (clock.Millis, bool) {
-	after := a.Route.HedgeAfterMillis
+// outstanding. It returns false if the route allows no hedge, if no time is left for
+// one, or if delay95, the 95th percentile of the delay, is needed and unknown (0).
+func (p *Policy) HedgeAt(s CallState, delay95 clock.Millis) (clock.Millis, bool) {
+	after := s.Route.HedgeAfterMillis
 	if after == 0 {
 		after = delay95
 	}
-	if after <= 0 || !hedged(a.Route) || p.attempts(a.Route) < 2 {
+	if after <= 0 || !allowsHedge(s.Route) || p.maxAttempts(s.Route) < 2 {
 		return 0, false
 	}
-	at := a.SentAt + after
-	return at, at+orDefault(p.LeastMillis, DefaultLeastMillis) <= a.Deadline
+	at := s.SentAt + after
+	return at, at+orDefault(p.MinAttemptMillis, DefaultMinAttemptMillis) <= s.Deadline
 }
 
-// Hedge returns whether a call whose attempt is slow gets a second one. The
-// caller asks once per call, at HedgeAt.
-func (p *Policy) Hedge(now clock.Millis, a Attempt) Decision {
+// Hedge decides whether a call whose attempt is slow gets a second one. The caller
+// calls it once per call, at the instant of HedgeAt.
+func (p *Policy) Hedge(now clock.Millis, s CallState) Decision {
 	switch {
-	case !hedged(a.Route):
+	case !allowsHedge(s.Route):
 		return Decision{Kind: Wait, Reason: ReasonNoHedge}
-	case a.Outstanding != 1:
+	case s.Outstanding != 1:
 		return Decision{Kind: Wait, Reason: ReasonOutstanding}
-	case a.Sent >= p.attempts(a.Route):
+	case s.Sent >= p.maxAttempts(s.Route):
 		return Decision{Kind: Wait, Reason: ReasonAttempts}
-	case now+orDefault(p.LeastMillis, DefaultLeastMillis) > a.Deadline:
+	case now+orDefault(p.MinAttemptMillis, DefaultMinAttemptMillis) > s.Deadline:
 		return Decision{Kind: Wait, Reason: ReasonDeadline}
-	case !p.takeHedge(now, a):
+	case !p.takeHedge(now, s):
 		return Decision{Kind: Wait, Reason: ReasonBudget}
 	}
 	return Decision{Kind: Hedge, At: now, Reason: ReasonSlow}
 }
 
-// takeHedge pays for a hedge, which is a repeated arrival.
-func (p *Policy) takeHedge(now clock.Millis, a Attempt) bool {
-	if p.Share != nil {
-		return p.Share.Take(now, a.Route.Service)
+// takeHedge takes the cost of a hedge from the budget and reports whether it was
+// available. In a WindowBudget a hedge counts as a repeated arrival.
+func (p *Policy) takeHedge(now clock.Millis, s CallState) bool {
+	if p.WindowBudget != nil {
+		return p.WindowBudget.Take(now, s.Route.Service)
 	}
-	return p.Budget.Take(now, hedgeTokens)
+	return p.Budget.Take(now, hedgeCost)
 }
 
-// hedged reports whether a route allows hedges.
-func hedged(r model.Route) bool {
+// allowsHedge reports whether a route allows hedges.
+func allowsHedge(r model.Route) bool {
 	return r.Idempotent && r.Class == model.Check && r.HedgeAfterMillis >= 0
 }
 
-// attempts returns the bound for a route.
-func (p *Policy) attempts(r model.Route) int {
+// maxAttempts returns the bound on the attempts of a call on a route.
+func (p *Policy) maxAttempts(r model.Route) int {
 	return min(r.MaxAttempts, orDefault(p.MaxAttempts, DefaultMaxAttempts))
 }
 
-// backOff returns the pause after an attempt: exponential, spread by one half
-// to both sides so that callers that failed together come back apart.
-func (p *Policy) backOff(sent int) clock.Millis {
-	d := orDefault(p.BaseMillis, DefaultBaseMillis) * clock.Millis(int(1)<<min(max(sent-1, 0), 16))
+// backoff returns the delay before a retry. It grows exponentially and has a jitter of
+// 50% either way, so that callers that failed together don't retry together.
+func (p *Policy) backoff(sent int) clock.Millis {
+	d := orDefault(p.BaseBackoffMillis, DefaultBaseBackoffMillis) * clock.Millis(int(1)<<min(max(sent-1, 0), 16))
 	d *= clock.Millis(0.5 + p.Rand.Float64())
-	return min(d, orDefault(p.MaxMillis, DefaultMaxMillis))
+	return min(d, orDefault(p.MaxBackoffMillis, DefaultMaxBackoffMillis))
 }
--- a/core/retry/policy_property_test.go
+++ b/core/retry/policy_property_test.go
@@ -12,7 +12,7 @@
 	"hickoryrail/core/result"
 )
 
-// chain is a call chain with one ingress per level.
+// chain simulates a call chain with one ingress per level.
 type chain struct {
 	t        *rapid.T
 	rand     *rand.Rand
@@ -21,28 +21,28 @@
 	now      clock.Millis
 	// calls and attempts count by level; the last level has no attempts.
 	calls, attempts []int
-	// refused and lost are the shares of failures of each kind; the rest of the
-	// failing share is answered with an error.
-	refused, lost float64
+	// refusedFraction is the fraction of failed attempts that are refused, and
+	// lostFraction of those whose answer is lost; the others are answered with an error.
+	refusedFraction, lostFraction float64
 }
 
-// call makes one call at a level and reports whether it was answered well.
+// call makes one call at a level and reports whether it succeeded.
 func (c *chain) call(level int) bool {
 	c.calls[level]++
 	if level == len(c.policies) {
 		return true
 	}
 	p := c.policies[level]
-	p.Budget.Call(c.now)
-	a := Attempt{Route: c.route, Deadline: c.now + c.route.TimeoutMillis}
+	p.Budget.RecordCall(c.now)
+	s := CallState{Route: c.route, Deadline: c.now + c.route.TimeoutMillis}
 	for {
-		a.Start(c.now)
+		s.Start(c.now)
 		c.attempts[level]++
 		v, ok := c.try(level)
-		a.End(v)
-		d := p.Decide(c.now, a, v)
+		s.End(v)
+		d := p.Decide(c.now, s, v)
 		if d.Kind != Retry {
-			if d.Verdict == result.NotRun && a.Uncertain {
+			if d.Verdict == result.NotRun && s.Uncertain {
 				c.t.Fatal("call is reported as not run after an attempt that may have run")
 			}
 			return ok && d.Verdict == result.Ran
@@ -50,8 +50,8 @@
 		if v == result.Ran || v == result.MayHaveRun && !c.route.Idempotent {
 			c.t.Fatalf("retry after %s, idempotent %t", v, c.route.Idempotent)
 		}
-		if a.Sent >= min(c.route.MaxAttempts, DefaultMaxAttempts) || d.At < c.now || d.At >= a.Deadline {
-			c.t.Fatalf("retry %d at %s, deadline %s", a.Sent, d.At, a.Deadline)
+		if s.Sent >= min(c.route.MaxAttempts, DefaultMaxAttempts) || d.At < c.now || d.At >= s.Deadline {
+			c.t.Fatalf("retry %d at %s, deadline %s", s.Sent, d.At, s.Deadline)
 		}
 	}
 }
@@ -62,25 +62,25 @@
 		return result.Ran, c.call(level + 1)
 	}
 	kind := c.rand.Float64()
-	if kind < c.refused {
+	if kind < c.refusedFraction {
 		return result.NotRun, false
 	}
 	c.call(level + 1)
-	if kind < c.refused+c.lost {
+	if kind < c.refusedFraction+c.lostFraction {
 		return result.MayHaveRun, false
 	}
 	return result.Ran, false
 }
 
-// TestChainStaysWithinBudget guards against attempts that multiply across 30
-// levels of calls, 30 in 100 of which fail.
+// TestChainStaysWithinBudget guards against retries that multiply over the levels of a
+// call chain. At each of the 30 levels, 30 in 100 attempts fail.
 func TestChainStaysWithinBudget(t *testing.T) {
 	const levels, calls = 30, 200
 	rapid.Check(t, func(t *rapid.T) {
 		c := &chain{
 			t: t, rand: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)),
 			calls: make([]int, levels+1), attempts: make([]int, levels),
-			refused: rapid.Float64Range(0, 1).Draw(t, "refused"), lost: rapid.Float64Range(0, 1).Draw(t, "lost"),
+			refusedFraction: rapid.Float64Range(0, 1).Draw(t, "refused"), lostFraction: rapid.Float64Range(0, 1).Draw(t, "lost"),
 			route: model.Route{
 				Idempotent: rapid.Bool().Draw(t, "idempotent"), MaxAttempts: rapid.IntRange(1, 5).Draw(t, "attempts"),
 				TimeoutMillis: clock.Millis(rapid.IntRange(1, 1000).Draw(t, "timeout")),
@@ -106,16 +106,16 @@
 		// by 1.005 for the initial tokens.
 		bound := math.Pow(1.027, levels) * calls
 		if float64(c.calls[levels]) > bound || float64(c.attempts[levels-1]) > 1.1*bound {
-			t.Fatalf("%d executions and %d attempts at the bottom, bound %f", c.calls[levels], c.attempts[levels-1], bound)
+			t.Fatalf("%d executions and %d attempts at the last level, bound %f", c.calls[levels], c.attempts[levels-1], bound)
 		}
 		if !c.route.Idempotent && c.calls[levels] > calls {
-			t.Fatalf("%d calls ran %d times at the bottom of a chain that is not idempotent", calls, c.calls[levels])
+			t.Fatalf("%d calls ran %d times at the last level of a chain that is not idempotent", calls, c.calls[levels])
 		}
 	})
 }
 
-// TestBudgetBound guards against a bucket that yields more than its calls, its
-// time and its burst allow, also when the clock steps.
+// TestBudgetBound guards against a budget that yields more tokens than the calls, the
+// elapsed time and the burst allow, also if the clock steps backwards.
 func TestBudgetBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := &Budget{Burst: float64(rapid.IntRange(1, 20).Draw(t, "burst"))}
@@ -125,7 +125,7 @@
 			now += clock.Millis(rapid.IntRange(-500, 1000).Draw(t, "pause"))
 			end = max(end, now)
 			if rapid.Bool().Draw(t, "call") {
-				b.Call(now)
+				b.RecordCall(now)
 				calls++
 			} else if b.Take(now, 1) {
 				taken++
@@ -140,16 +140,16 @@
 	})
 }
 
-// TestHedges guards against a hedge that is not allowed, comes too late, or takes
-// no token.
+// TestHedges guards against a hedge that is not allowed, is too late, or costs no
+// tokens.
 func TestHedges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPolicy(&Budget{PerSecond: -1, Ratio: 1, Initial: -1})
 		for range rapid.IntRange(0, 3).Draw(t, "tokens") {
-			p.Budget.Call(0)
+			p.Budget.RecordCall(0)
 		}
 		before := p.Budget.Tokens(0)
-		a := Attempt{
+		s := CallState{
 			Route: model.Route{
 				Idempotent: rapid.Bool().Draw(t, "idempotent"), Class: model.Class(rapid.IntRange(0, 2).Draw(t, "class")),
 				MaxAttempts: rapid.IntRange(1, 5).Draw(t, "attempts"), HedgeAfterMillis: clock.Millis(rapid.IntRange(-1, 20).Draw(t, "after")),
@@ -157,16 +157,16 @@
 			Sent: rapid.IntRange(1, 4).Draw(t, "sent"), Outstanding: rapid.IntRange(0, 2).Draw(t, "outstanding"),
 			SentAt: 5, Deadline: clock.Millis(rapid.IntRange(0, 50).Draw(t, "deadline")),
 		}
-		allowed := a.Route.Idempotent && a.Route.Class == model.Check && a.Route.HedgeAfterMillis >= 0
-		at, due := p.HedgeAt(a, clock.Millis(rapid.IntRange(0, 20).Draw(t, "delay95")))
-		if due && (!allowed || at <= a.SentAt || at >= a.Deadline) {
+		allowed := s.Route.Idempotent && s.Route.Class == model.Check && s.Route.HedgeAfterMillis >= 0
+		at, due := p.HedgeAt(s, clock.Millis(rapid.IntRange(0, 20).Draw(t, "delay95")))
+		if due && (!allowed || at <= s.SentAt || at >= s.Deadline) {
 			t.Fatalf("hedge at %s", at)
 		}
 		now := clock.Millis(rapid.IntRange(5, 60).Draw(t, "now"))
-		want := allowed && a.Outstanding == 1 && a.Sent < min(a.Route.MaxAttempts, DefaultMaxAttempts) &&
-			now+DefaultLeastMillis <= a.Deadline && before >= hedgeTokens
-		d := p.Hedge(now, a)
-		if (d.Kind == Hedge) != want || (d.Kind == Hedge) != (p.Budget.Tokens(now) == before-hedgeTokens) {
+		want := allowed && s.Outstanding == 1 && s.Sent < min(s.Route.MaxAttempts, DefaultMaxAttempts) &&
+			now+DefaultMinAttemptMillis <= s.Deadline && before >= hedgeCost
+		d := p.Hedge(now, s)
+		if (d.Kind == Hedge) != want || (d.Kind == Hedge) != (p.Budget.Tokens(now) == before-hedgeCost) {
 			t.Fatalf("%s (%s), want %t", d.Kind, d.Reason, want)
 		}
 	})
--- a/core/retry/policy_test.go
+++ b/core/retry/policy_test.go
@@ -25,24 +25,25 @@
 func TestUncertainCallIsNeverNotRun(t *testing.T) {
 	is := is.New(t)
 	p := newPolicy(&Budget{})
-	a := Attempt{Route: model.Route{Idempotent: true, MaxAttempts: 2}, Sent: 2, Uncertain: true, Deadline: 100}
-	d := p.Decide(1, a, result.NotRun)
+	s := CallState{Route: model.Route{Idempotent: true, MaxAttempts: 2}, Sent: 2, Uncertain: true, Deadline: 100}
+	d := p.Decide(1, s, result.NotRun)
 	is.Equal(d.Kind, Finish)
 	is.Equal(d.Verdict, result.MayHaveRun)
 }
 
-// TestHedgeNeedsIdempotentCheck guards against hedging an action.
+// TestHedgeNeedsIdempotentCheck guards against hedges on routes other than those of
+// idempotent checks.
 func TestHedgeNeedsIdempotentCheck(t *testing.T) {
 	is := is.New(t)
 	p := newPolicy(&Budget{})
-	p.Budget.Call(0)
+	p.Budget.RecordCall(0)
 	for i, r := range []model.Route{
 		{Idempotent: false, Class: model.Check, MaxAttempts: 3},
 		{Idempotent: true, Class: model.Action, MaxAttempts: 3},
 		{Idempotent: true, Class: model.Check, MaxAttempts: 3, HedgeAfterMillis: -1},
 		{Idempotent: true, Class: model.Check, MaxAttempts: 3},
 	} {
-		d := p.Hedge(5000, Attempt{Route: r, Sent: 1, Outstanding: 1, Deadline: 9000})
+		d := p.Hedge(5000, CallState{Route: r, Sent: 1, Outstanding: 1, Deadline: 9000})
 		is.Equal(d.Kind == Hedge, i == 3)
 	}
 }
--- /dev/null
+++ b/core/retry/windowbudget.go
@@ -0,0 +1,96 @@
+package retry
+
+import (
+	"hickoryrail/core/clock"
+	"hickoryrail/core/ident"
+)
+
+const (
+	// windowBuckets is the number of buckets of a window.
+	windowBuckets = 10
+	// windowMargin is the fraction of the bound that is used. The rest allows for
+	// differences between the counts of the nodes: requests in transit, and nodes that
+	// are not yet known to each other.
+	windowMargin = 0.8
+)
+
+type (
+	// WindowBudget bounds the repeated arrivals at the targets of each service in a
+	// sliding window, over all nodes but without messages between them: each node may use
+	// the ratio of its own requests and an even part of the fixed amount. A refusal by a
+	// gate is not an arrival and costs nothing. It is not safe for concurrent use.
+	WindowBudget struct {
+		// Ratio is the number of repeated arrivals that each request allows.
+		Ratio float64
+		// Fixed is the number of further repeated arrivals in each window that all
+		// nodes together may make.
+		Fixed float64
+		// WindowMillis is the length of the window; above 0.
+		WindowMillis clock.Millis
+		// Nodes is the number of nodes, at least 1; it may change at any time.
+		Nodes int
+
+		services map[ident.ServiceName]*window
+	}
+
+	// window counts the events of one service in the last WindowMillis and up to
+	// one bucket more.
+	window struct {
+		requests, repeats [windowBuckets + 1]int
+		// bucket is the number of the present bucket since the clock's origin.
+		bucket int64
+	}
+)
+
+// RecordRequest counts a request of a caller for a service.
+func (b *WindowBudget) RecordRequest(now clock.Millis, service ident.ServiceName) {
+	w := b.window(now, service)
+	w.requests[w.bucket%(windowBuckets+1)]++
+}
+
+// Take reports whether a repeated arrival is allowed, and counts it if so.
+func (b *WindowBudget) Take(now clock.Millis, service ident.ServiceName) bool {
+	w := b.window(now, service)
+	requests, repeats := 0, 0
+	for i := range w.requests {
+		requests += w.requests[i]
+		repeats += w.repeats[i]
+	}
+	// The oldest bucket may lie outside of the window.
+	requests -= w.requests[(w.bucket+1)%(windowBuckets+1)]
+	allowed := windowMargin * (b.Ratio*float64(requests) + b.Fixed/float64(max(b.Nodes, 1)))
+	if float64(repeats+1) > allowed {
+		return false
+	}
+	w.repeats[w.bucket%(windowBuckets+1)]++
+	return true
+}
+
+// RecordRepeat counts a repeated arrival that needs no further permission: a call made
+// by a request that was itself retried.
+func (b *WindowBudget) RecordRepeat(now clock.Millis, service ident.ServiceName) {
+	w := b.window(now, service)
+	w.repeats[w.bucket%(windowBuckets+1)]++
+}
+
+// window returns the counts of a service after clearing expired buckets.
+func (b *WindowBudget) window(now clock.Millis, service ident.ServiceName) *window {
+	if b.services == nil {
+		b.services = make(map[ident.ServiceName]*window)
+	}
+	w := b.services[service]
+	bucket := int64(now / (b.WindowMillis / windowBuckets))
+	if w == nil {
+		w = &window{bucket: bucket}
+		b.services[service] = w
+	}
+	if bucket-w.bucket > windowBuckets {
+		*w = window{bucket: bucket}
+	}
+	for w.bucket < bucket {
+		w.bucket++
+		i := w.bucket % (windowBuckets + 1)
+		w.requests[i], w.repeats[i] = 0, 0
+	}
+	return w
+}
--- /dev/null
+++ b/core/retry/windowbudget_test.go
@@ -0,0 +1,127 @@
+package retry
+
+import (
+	"math/rand/v2"
+	"testing"
+
+	"github.com/matryer/is"
+	"pgregory.net/rapid"
+
+	"hickoryrail/core/clock"
+	"hickoryrail/core/ident"
+	"hickoryrail/core/model"
+	"hickoryrail/core/result"
+)
+
+// TestWindowBudgetHoldsOverAllNodes guards against a sum of repeated arrivals above the
+// bound in any window, however the requests are spread over nodes and time.
+func TestWindowBudgetHoldsOverAllNodes(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		const windowMillis = 10 * clock.Second
+		n := rapid.IntRange(1, 6).Draw(t, "nodes")
+		budgets := make([]*WindowBudget, n)
+		for i := range budgets {
+			budgets[i] = &WindowBudget{Ratio: 0.2, Fixed: 64, WindowMillis: windowMillis, Nodes: n}
+		}
+		type event struct {
+			at       clock.Millis
+			repeated bool
+		}
+		var events []event
+		now := clock.Millis(rapid.Float64Range(0, 1e6).Draw(t, "start"))
+		for range rapid.IntRange(1, 400).Draw(t, "steps") {
+			now += clock.Millis(rapid.Float64Range(0, 300).Draw(t, "pause"))
+			b := budgets[rapid.IntRange(0, n-1).Draw(t, "node")]
+			b.RecordRequest(now, "s")
+			events = append(events, event{at: now})
+			for range rapid.IntRange(0, 5).Draw(t, "repeats") {
+				if b.Take(now, "s") {
+					events = append(events, event{at: now, repeated: true})
+				}
+			}
+		}
+		for i := range events {
+			requests, repeats := 0, 0
+			for _, e := range events[i:] {
+				if e.at >= events[i].at+windowMillis {
+					break
+				}
+				if e.repeated {
+					repeats++
+				} else {
+					requests++
+				}
+			}
+			// A node's window can begin before the one that is checked here, so the
+			// requests of the preceding window may be the ones that allow the repeats.
+			before := 0
+			for _, e := range events[:i] {
+				if e.at >= events[i].at-windowMillis && !e.repeated {
+					before++
+				}
+			}
+			if float64(repeats) > 0.2*float64(max(requests, before))+64 {
+				t.Fatalf("%d repeats for %d requests, %d before", repeats, requests, before)
+			}
+		}
+	})
+}
+
+// TestWindowBudgetRecordRepeat guards against calls of retried requests that are not
+// counted as repeated arrivals.
+func TestWindowBudgetRecordRepeat(t *testing.T) {
+	is := is.New(t)
+	b := &WindowBudget{Ratio: 0, Fixed: 10, WindowMillis: 10 * clock.Second, Nodes: 1}
+	for range 7 {
+		b.RecordRepeat(0, "s")
+	}
+	is.True(b.Take(0, "s"))
+	is.True(!b.Take(0, "s"))
+	is.True(b.Take(0, ident.ServiceName("other")))
+	is.True(b.Take(11*clock.Second+1, "s")) // the window has passed
+}
+
+// TestRefusalsByGatesAreFree guards against a call that ends after the refusal of one
+// gate while others are free, against calls that try gates without a bound, and
+// against repeated arrivals that aren't counted in the budget.
+func TestRefusalsByGatesAreFree(t *testing.T) {
+	is := is.New(t)
+	b := &WindowBudget{Fixed: 1.25, WindowMillis: 10 * clock.Second, Nodes: 1} // one repeat with the margin
+	p := &Policy{WindowBudget: b, Rand: rand.New(rand.NewPCG(1, 2))}
+	r := model.Route{Service: "s", MaxAttempts: 2, TimeoutMillis: 1000}
+	s := CallState{Route: r, Deadline: 1000}
+	for n := 1; n <= maxRefusals; n++ {
+		s.Start(0)
+		s.End(result.NotRun)
+		d := p.Decide(0, s, result.NotRun)
+		is.Equal(d.Kind == Retry, n < maxRefusals)
+		is.Equal(d.Verdict, map[bool]result.Verdict{true: result.MayHaveRun, false: result.NotRun}[n < maxRefusals])
+	}
+	arrived := CallState{Route: r, Deadline: 1000, Sent: 1, Arrivals: 1}
+	is.Equal(p.Decide(0, arrived, result.NotRun).Kind, Retry) // the one allowed repeat
+	is.Equal(p.Decide(0, arrived, result.NotRun).Reason, ReasonBudget)
+	arrived.Arrivals, arrived.Sent = 2, 2
+	is.Equal(p.Decide(0, arrived, result.NotRun).Reason, ReasonAttempts)
+}
+
+// TestAfterFailure guards against retries of requests that aren't idempotent, retries
+// without enough time before the deadline, and retries beyond the budget.
+func TestAfterFailure(t *testing.T) {
+	is := is.New(t)
+	p := &Policy{
+		WindowBudget: &WindowBudget{Fixed: 1.25, WindowMillis: 10 * clock.Second, Nodes: 1}, RetryFailures: true,
+		Rand: rand.New(rand.NewPCG(1, 2)),
+	}
+	r := model.Route{Service: "s", MaxAttempts: 2, Idempotent: true, GoalMillis: 200}
+	s := CallState{Route: r, Deadline: 800, Sent: 1, Arrivals: 1}
+	is.Equal(p.AfterFailure(750, s).Kind, Finish) // no time
+	notIdempotent := s
+	notIdempotent.Route.Idempotent = false
+	is.Equal(p.AfterFailure(0, notIdempotent).Kind, Finish)
+	is.Equal(p.AfterFailure(0, s).Kind, Retry)
+	d := p.AfterFailure(0, s) // the budget is used up
+	is.Equal(d.Kind, Finish)
+	is.Equal(d.Verdict, result.Ran)
+	p.RetryFailures = false
+	is.Equal(p.AfterFailure(20*clock.Second, CallState{Route: r, Deadline: 21 * clock.Second}).Kind, Finish)
+}
--- a/io/bench/retry.go
+++ b/io/bench/retry.go
@@ -48,7 +48,7 @@
 
 type (
 	// rule decides whether an attempt that failed is made again.
-	rule func(level int, now clock.Millis, a retry.Attempt, v result.Verdict) bool
+	rule func(level int, now clock.Millis, a retry.CallState, v result.Verdict) bool
 
 	// chain is one run of calls through all levels.
 	chain struct {
@@ -75,8 +75,8 @@
 		"failures", "idempotent", "rule", "executions at the bottom per call", "at all levels per call", "answered %", "cut off")
 	for _, failures := range []string{mixed, allLost} {
 		for _, idempotent := range []bool{false, true} {
-			t.addChain(calls, limit, failures, "no retries", idempotent, func(int, clock.Millis, retry.Attempt, result.Verdict) bool { return false })
-			t.addChain(calls, limit, failures, "3 attempts on any failure", idempotent, func(_ int, _ clock.Millis, a retry.Attempt, _ result.Verdict) bool { return a.Sent < 3 })
+			t.addChain(calls, limit, failures, "no retries", idempotent, func(int, clock.Millis, retry.CallState, result.Verdict) bool { return false })
+			t.addChain(calls, limit, failures, "3 attempts on any failure", idempotent, func(_ int, _ clock.Millis, a retry.CallState, _ result.Verdict) bool { return a.Sent < 3 })
 			for _, name := range []string{"budget only", "verdict rule only", "budget and verdict rule"} {
 				t.addPolicy(calls, limit, failures, name, idempotent)
 			}
@@ -97,7 +97,7 @@
 		}
 		policies[i] = &retry.Policy{Budget: budgets[i], Rand: random}
 	}
-	t.addChain(calls, limit, failures, name, idempotent, func(level int, now clock.Millis, a retry.Attempt, v result.Verdict) bool {
+	t.addChain(calls, limit, failures, name, idempotent, func(level int, now clock.Millis, a retry.CallState, v result.Verdict) bool {
 		if name == "budget only" {
 			// Every failure counts as one that may be repeated.
 			v, a.Route.Idempotent = result.MayHaveRun, true
@@ -131,9 +131,9 @@
 		return false
 	}
 	if len(c.budgets) > 0 {
-		c.budgets[level].Call(c.now)
+		c.budgets[level].RecordCall(c.now)
 	}
-	a := retry.Attempt{
+	a := retry.CallState{
 		Route: model.Route{MaxAttempts: 3, Idempotent: c.idempotent}, Deadline: c.now + clock.Minute,
 	}
 	for {
@@ -193,7 +193,7 @@
 	extra := 0
 	for i := range calls {
 		now := clock.Millis(i) * clock.Second / hedgeRate
-		policy.Budget.Call(now)
+		policy.Budget.RecordCall(now)
 		draw := func() clock.Millis {
 			d := clock.Millis(5 * random.ExpFloat64())
 			if random.Float64() < hedgeSlow {
@@ -204,7 +204,7 @@
 			}
 			return d
 		}
-		a := retry.Attempt{
+		a := retry.CallState{
 			Route: model.Route{Idempotent: true, Class: model.Check, MaxAttempts: 2, HedgeAfterMillis: after},
 			Sent:  1, Outstanding: 1, SentAt: now, Deadline: now + callTimeout,
 		}
--- a/io/bench/route.go
+++ b/io/bench/route.go
@@ -113,7 +113,7 @@
 		ingress int
 		started clock.Millis
 		demand  clock.Millis
-		state   retry.Attempt
+		state   retry.CallState
 		exclude []ident.TargetID
 		target  *modelTarget
 		sentAt  clock.Millis
@@ -241,8 +241,8 @@
 // start begins a call, which ends at its deadline at the latest.
 func (r *routeRun) start(c *modelCall) {
 	r.calls++
-	c.state = retry.Attempt{Route: model.Route{MaxAttempts: 3, Class: model.Action}, Deadline: r.now + callTimeout}
-	r.policies[c.ingress].Budget.Call(r.now)
+	c.state = retry.CallState{Route: model.Route{MaxAttempts: 3, Class: model.Action}, Deadline: r.now + callTimeout}
+	r.policies[c.ingress].Budget.RecordCall(r.now)
 	r.at(c.state.Deadline, func() { r.expire(c) })
 	r.send(c)
 }
--- a/io/node/hosted.go
+++ b/io/node/hosted.go
@@ -72,7 +72,7 @@
 	Hosted struct {
 		Settings conf.Settings
 		// Retries bounds the repeated arrivals at targets over all nodes.
-		Retries   retry.Share
+		Retries   retry.WindowBudget
 		Dialect   proxy.Dialect
 		Source    plat.Source
 		Directory plat.Directory
@@ -150,7 +150,7 @@
 // wireHostedPath creates the gateway, the ingress and the TCP transport.
 func (n *Node) wireHostedPath(h *Hosted, random *rand.Rand) {
 	n.wirePath(random)
-	n.ingress.Policy = &retry.Policy{Share: &h.Retries, RetryFailures: true, Rand: fork(random)}
+	n.ingress.Policy = &retry.Policy{WindowBudget: &h.Retries, RetryFailures: true, Rand: fork(random)}
 	n.ingress.Picker.Limits = route.Limits{
 		DomainFactor: hostedDomainFactor, LocalPair: true, StaleMillis: hostedStaleMillis,
 	}
--- a/io/node/hosted_test.go
+++ b/io/node/hosted_test.go
@@ -151,7 +151,7 @@
 		t.Fatal(err)
 	}
 	n, err := NewHosted(Hosted{
-		Settings: s, Source: h, Directory: h, Retries: retry.Share{Fixed: 9, WindowMillis: clock.Second, Nodes: 1},
+		Settings: s, Source: h, Directory: h, Retries: retry.WindowBudget{Fixed: 9, WindowMillis: clock.Second, Nodes: 1},
 		Endpoint: func(c Control) Endpoint {
 			h.mu.Lock()
 			defer h.mu.Unlock()
--- a/io/proxy/attempt.go
+++ b/io/proxy/attempt.go
@@ -90,7 +90,7 @@
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	others := len(c.view.Targets(c.route.Service)) - len(c.tried)
-	return in.Search.ShouldFailFast(c.route.Service, c.state.Looks, max(others, 0))
+	return in.Search.ShouldFailFast(c.route.Service, c.state.FastRefusals, max(others, 0))
 }
 
 // attempt sends one attempt to the chosen gate and reports its outcome to the
--- a/io/proxy/dialect_test.go
+++ b/io/proxy/dialect_test.go
@@ -225,7 +225,7 @@
 	in := &Ingress{
 		Self: "ingress", Listen: "127.0.0.1:0", Clock: clock.NewSystem(), Gateway: g, Dialect: foreign(), Service: "shop",
 		Picker: &route.Picker{Self: "ingress", FailureDomain: "a", Region: "r", Rand: random},
-		Policy: &retry.Policy{Share: &retry.Share{Fixed: 9, WindowMillis: clock.Second, Nodes: 1}, Rand: random},
+		Policy: &retry.Policy{WindowBudget: &retry.WindowBudget{Fixed: 9, WindowMillis: clock.Second, Nodes: 1}, Rand: random},
 	}
 	if err := in.Open(); err != nil {
 		t.Fatal(err)
--- a/io/proxy/forward.go
+++ b/io/proxy/forward.go
@@ -57,7 +57,7 @@
 		request wire.Request
 
 		// state is what the policy decides on.
-		state retry.Attempt
+		state retry.CallState
 		// tried holds the targets that were chosen so far.
 		tried []ident.TargetID
 	}
@@ -80,10 +80,10 @@
 	// failure is an answer of a target that reports a failure; it is better than
 	// none if later attempts bring none.
 	var failure *wire.Response
-	c.state = retry.Attempt{Route: c.route, Deadline: c.deadline}
+	c.state = retry.CallState{Route: c.route, Deadline: c.deadline}
 	now := in.Clock.Now()
 	in.mu.Lock()
-	in.Policy.Begin(now, c.route, c.repeated)
+	in.Policy.RecordCall(now, c.route, c.repeated)
 	in.mu.Unlock()
 	for {
 		choice, ok := in.pick(c)
@@ -152,7 +152,7 @@
 	case resp.Arrived || resp.Verdict != result.NotRun:
 		c.state.Arrivals++
 	case resp.Reason == admit.ReasonBusy:
-		c.state.Looks++
+		c.state.FastRefusals++
 	}
 	in.mu.Lock()
 	var d retry.Decision
--- a/io/proxy/ingress.go
+++ b/io/proxy/ingress.go
@@ -199,8 +199,8 @@
 // SetView puts a view in force for new requests; nodes is the number of live nodes.
 func (in *Ingress) SetView(v *view.View, nodes int) {
 	in.mu.Lock()
-	if in.Policy.Share != nil {
-		in.Policy.Share.Nodes = nodes
+	if in.Policy.WindowBudget != nil {
+		in.Policy.WindowBudget.Nodes = nodes
 	}
 	in.Picker.SetView(in.Clock.Now(), v)
 	in.split.Keep(v.HasRoute)
--- a/io/proxy/path_test.go
+++ b/io/proxy/path_test.go
@@ -289,7 +289,7 @@
 	targets := []*standIn{newStandIn(t), newStandIn(t)}
 	f := newFleet(t, 1, targets...)
 	in := newIngress(t, f)
-	in.Policy.Budget.Call(in.Clock.Now())
+	in.Policy.Budget.RecordCall(in.Clock.Now())
 	var calls atomic.Int64
 	f.fault = func(ctx context.Context, g *Gateway, body []byte) ([]byte, error) {
 		if calls.Add(1) == 1 {
