--- a/core/model/delta.go
+++ b/core/model/delta.go
@@ -9,12 +9,12 @@
 	"hickoryrail/core/sets"
 )
 
-// Delta turns one release into a later one.
+// Delta contains the changes that turn one release into a later one.
 type Delta struct {
-	// From and FromDigest name the release that the delta starts from.
+	// From and FromDigest identify the base release.
 	From       ident.Version
 	FromDigest ident.Digest
-	// To, EditID and ToDigest name the release that it leads to; To is above From.
+	// To, EditID and ToDigest identify the resulting release; To is above From.
 	To       ident.Version
 	EditID   ident.EditID
 	ToDigest ident.Digest
@@ -23,10 +23,11 @@
 }
 
 var (
-	// ErrBase reports a delta that starts from another release.
+	// ErrBase reports a delta with another base release.
 	ErrBase = errors.New("delta starts from another release")
 
-	// errFields reports a delta that leaves fields without their element.
+	// errFields reports a delta that leaves fields that belong to no element, or with
+	// a text that is not the canonical form of their value.
 	errFields = errors.New("delta has a malformed or incomplete element")
 )
 
@@ -40,8 +41,8 @@
 	}
 }
 
-// Apply returns the later release. It returns ErrBase for another base, and an
-// error if the result is not a whole, valid release with the expected digest.
+// Apply returns the resulting release. It returns ErrBase if from is not the base
+// release, and an error if the result is not a valid release with the digest ToDigest.
 func (d Delta) Apply(from Release) (Release, error) {
 	if d.From != from.Version || d.FromDigest != from.Digest {
 		return Release{}, ErrBase
@@ -49,7 +50,7 @@
 	if d.To <= d.From {
 		return Release{}, fmt.Errorf("delta leads from version %d to %d", d.From, d.To)
 	}
-	configuration, err := d.change(from.Configuration)
+	configuration, err := d.applyChanges(from.Configuration)
 	if err != nil {
 		return Release{}, err
 	}
@@ -60,9 +61,9 @@
 	return to, nil
 }
 
-// change applies the changes to the elements that they name; the others are taken
-// over as they are.
-func (d Delta) change(from Configuration) (Configuration, error) {
+// applyChanges returns from with the changes applied to the elements that they name;
+// the other elements are copied unchanged.
+func (d Delta) applyChanges(from Configuration) (Configuration, error) {
 	named := sets.Of[string]()
 	for _, c := range d.Changes {
 		named.Add(elementOf(c.Field))
@@ -83,8 +84,8 @@
 	if err != nil {
 		return Configuration{}, err
 	}
-	// The fields must be exactly those of the result: a field that no element has,
-	// or a value in an unusual form, does not show in the digest.
+	// The fields must be exactly those of the result: the digest does not cover a field
+	// that no element has, or a value that is not in canonical form.
 	if !maps.Equal(f, flatten(changed)) {
 		return Configuration{}, errFields
 	}
--- a/core/model/diff.go
+++ b/core/model/diff.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	// existence is the field that marks an element itself as present.
-	existence = "Name"
-	// domainKind to callersKind start the names of fields.
+	// nameField is a field that every element has: an element exists if it is set.
+	nameField = "Name"
+	// domainKind to callersKind are the kinds of elements, which field names start with.
 	domainKind  = "FailureDomain"
 	serviceKind = "Service"
 	routeKind   = "Route"
 	callersKind = "Callers"
-	// callersName is the name of the one element of its kind.
+	// callersName is the name of the only element of the kind Callers.
 	callersName = "limits"
 )
 
 type (
 	// Change is one field that differs between two configurations.
 	Change struct {
-		// Field names the value, such as Service/orders/Slots.
+		// Field is the name of the field, such as Service/orders/Slots.
 		Field string
-		// Old is the text before; empty for a new element.
+		// Old is the value before the change in text form; empty for a new field.
 		Old string
-		// New is the text after; empty for a removed element.
+		// New is the value after the change in text form; empty for a removed field.
 		New string
 	}
 
@@ -39,7 +39,7 @@
 	fields map[string]string
 )
 
-// Diff returns the fields that differ, in order of name.
+// Diff returns the changes from a to b, in order of the fields' names.
 func Diff(a, b Configuration) []Change {
 	from, to := flatten(a), flatten(b)
 	names := slices.Collect(maps.Keys(from))
@@ -58,27 +58,27 @@
 	return changes
 }
 
-// Merge applies the changes from base to edited on top of head. It returns the
-// names of the fields that both sides changed to different values; the merged
-// configuration is meaningful only if there are none. The result can still be
-// invalid as a whole, so the caller validates it.
+// Merge applies the changes from base to edited to head. It returns the names of the
+// fields that both sides changed to different values, or that one side changed while the
+// other one removed their element; the merged configuration is meaningful only if there
+// are none. The result can still be invalid as a whole, so the caller validates it.
 func Merge(base, head, edited Configuration) (Configuration, []string) {
-	theirs := make(map[string]string)
-	removed := make(map[string]bool)
+	headValues := make(map[string]string)
+	removedElements := make(map[string]bool)
 	for _, c := range Diff(base, head) {
-		theirs[c.Field] = c.New
-		removed[elementOf(c.Field)] = removed[elementOf(c.Field)] || removes(c)
+		headValues[c.Field] = c.New
+		removedElements[elementOf(c.Field)] = removedElements[elementOf(c.Field)] || removes(c)
 	}
 	merged := flatten(head)
 	var clashes []string
 	for _, c := range Diff(base, edited) {
-		value, both := theirs[c.Field]
+		value, both := headValues[c.Field]
 		switch {
 		case both && value != c.New:
 			clashes = append(clashes, c.Field)
-		case removed[elementOf(c.Field)] && !removes(c) && !both:
+		case removedElements[elementOf(c.Field)] && !removes(c) && !both:
 			clashes = append(clashes, c.Field)
-		case removes(c) && touched(theirs, elementOf(c.Field), c.Field):
+		case removes(c) && setsOtherField(headValues, elementOf(c.Field), c.Field):
 			clashes = append(clashes, c.Field)
 		case c.New == "":
 			delete(merged, c.Field)
@@ -98,13 +98,14 @@
 
 // removes reports whether c removes a whole element.
 func removes(c Change) bool {
-	return c.New == "" && strings.HasSuffix(c.Field, "/"+existence)
+	return c.New == "" && strings.HasSuffix(c.Field, "/"+nameField)
 }
 
-// touched reports whether the other side changed a field of element to a value,
-// while this side removes the element.
-func touched(theirs map[string]string, element, except string) bool {
-	for field, value := range theirs {
+// setsOtherField reports whether values, the new values of changed fields, set a field of
+// element other than except. An element can't be removed while another edit sets one of
+// its fields.
+func setsOtherField(values map[string]string, element, except string) bool {
+	for field, value := range values {
 		if field != except && value != "" && elementOf(field) == element {
 			return true
 		}
@@ -112,7 +113,8 @@
 	return false
 }
 
-// elementOf returns the part of a field's name that names the element.
+// elementOf returns the kind and the name of the element that a field belongs to, such
+// as Service/orders.
 func elementOf(field string) string {
 	i := strings.LastIndexByte(field, '/')
 	return field[:max(i, 0)]
@@ -122,73 +124,73 @@
 func flatten(c Configuration) fields {
 	f := make(fields)
 	for _, d := range c.Inventory.FailureDomains {
-		f.put(domainKind, string(d.Name), existence, string(d.Name))
-		f.put(domainKind, string(d.Name), "Region", string(d.Region))
+		f.set(domainKind, string(d.Name), nameField, string(d.Name))
+		f.set(domainKind, string(d.Name), "Region", string(d.Region))
 	}
 	for _, s := range c.Inventory.Services {
-		f.put(serviceKind, string(s.Name), existence, string(s.Name))
-		f.put(serviceKind, string(s.Name), "Slots", strconv.Itoa(int(s.Slots)))
-		f.put(serviceKind, string(s.Name), "Connections", strconv.Itoa(int(s.Connections)))
+		f.set(serviceKind, string(s.Name), nameField, string(s.Name))
+		f.set(serviceKind, string(s.Name), "Slots", strconv.Itoa(int(s.Slots)))
+		f.set(serviceKind, string(s.Name), "Connections", strconv.Itoa(int(s.Connections)))
 		if s.HealthPath != "" {
-			f.put(serviceKind, string(s.Name), "HealthPath", s.HealthPath)
+			f.set(serviceKind, string(s.Name), "HealthPath", s.HealthPath)
 		}
 		if s.TargetSlots {
-			f.put(serviceKind, string(s.Name), "TargetSlots", strconv.FormatBool(true))
+			f.set(serviceKind, string(s.Name), "TargetSlots", strconv.FormatBool(true))
 		}
 	}
 	for _, r := range c.Rules.Routes {
-		f.route(r)
+		f.setRoute(r)
 	}
-	f.callers(c.Rules.Callers)
+	f.setCallers(c.Rules.Callers)
 	return f
 }
 
-// put sets one field.
-func (f fields) put(kind, name, field, value string) {
+// set sets a field of the element of the given kind and name.
+func (f fields) set(kind, name, field, value string) {
 	f[kind+"/"+name+"/"+field] = value
 }
 
-// route sets the fields of one route.
-func (f fields) route(r Route) {
+// setRoute sets the fields of a route. Optional fields without a value are left out.
+func (f fields) setRoute(r Route) {
 	name := string(r.Name)
-	f.put(routeKind, name, existence, name)
-	f.put(routeKind, name, "PathPrefix", r.PathPrefix)
-	f.put(routeKind, name, "Class", r.Class.String())
-	f.put(routeKind, name, "Idempotent", strconv.FormatBool(r.Idempotent))
-	f.put(routeKind, name, "TimeoutMillis", formatMillis(r.TimeoutMillis))
-	f.put(routeKind, name, "MaxAttempts", strconv.Itoa(r.MaxAttempts))
-	f.put(routeKind, name, "HedgeAfterMillis", formatMillis(r.HedgeAfterMillis))
+	f.set(routeKind, name, nameField, name)
+	f.set(routeKind, name, "PathPrefix", r.PathPrefix)
+	f.set(routeKind, name, "Class", r.Class.String())
+	f.set(routeKind, name, "Idempotent", strconv.FormatBool(r.Idempotent))
+	f.set(routeKind, name, "TimeoutMillis", formatMillis(r.TimeoutMillis))
+	f.set(routeKind, name, "MaxAttempts", strconv.Itoa(r.MaxAttempts))
+	f.set(routeKind, name, "HedgeAfterMillis", formatMillis(r.HedgeAfterMillis))
 	if r.Host != "" {
-		f.put(routeKind, name, "Host", r.Host)
+		f.set(routeKind, name, "Host", r.Host)
 	}
 	if r.Service != "" {
-		f.put(routeKind, name, "Service", string(r.Service))
+		f.set(routeKind, name, "Service", string(r.Service))
 	}
 	if len(r.Parts) > 0 {
-		f.put(routeKind, name, "Parts", formatParts(r.Parts))
+		f.set(routeKind, name, "Parts", formatParts(r.Parts))
 	}
 	if r.GoalMillis != 0 {
-		f.put(routeKind, name, "GoalMillis", formatMillis(r.GoalMillis))
+		f.set(routeKind, name, "GoalMillis", formatMillis(r.GoalMillis))
 	}
 }
 
-// callers sets the fields of the bounds for callers, if there are any.
-func (f fields) callers(l CallerLimits) {
+// setCallers sets the fields of the caller limits, unless all of them are zero.
+func (f fields) setCallers(l CallerLimits) {
 	if l == (CallerLimits{}) {
 		return
 	}
-	f.put(callersKind, callersName, existence, callersName)
-	f.put(callersKind, callersName, "HeaderBytes", strconv.FormatInt(int64(l.HeaderBytes), 10))
-	f.put(callersKind, callersName, "BodyBytes", strconv.FormatInt(int64(l.BodyBytes), 10))
-	f.put(callersKind, callersName, "HeaderMillis", formatMillis(l.HeaderMillis))
-	f.put(callersKind, callersName, "IdleMillis", formatMillis(l.IdleMillis))
+	f.set(callersKind, callersName, nameField, callersName)
+	f.set(callersKind, callersName, "HeaderBytes", strconv.FormatInt(int64(l.HeaderBytes), 10))
+	f.set(callersKind, callersName, "BodyBytes", strconv.FormatInt(int64(l.BodyBytes), 10))
+	f.set(callersKind, callersName, "HeaderMillis", formatMillis(l.HeaderMillis))
+	f.set(callersKind, callersName, "IdleMillis", formatMillis(l.IdleMillis))
 }
 
-// configuration rebuilds a configuration from its fields.
+// configuration parses the fields and returns the configuration that they describe.
 func (f fields) configuration() (Configuration, error) {
 	var c Configuration
 	for field, name := range f {
-		if !strings.HasSuffix(field, "/"+existence) {
+		if !strings.HasSuffix(field, "/"+nameField) {
 			continue
 		}
 		element := elementOf(field)
@@ -212,7 +214,7 @@
 	return c.sorted(), nil
 }
 
-// appendService rebuilds one service.
+// appendService parses the fields of a service and appends it to c.
 func (f fields) appendService(c *Configuration, element, name string) error {
 	slots, err := strconv.Atoi(f[element+"/Slots"])
 	if err != nil {
@@ -229,7 +231,7 @@
 	return nil
 }
 
-// callerLimits rebuilds the bounds for callers.
+// callerLimits parses the fields of the caller limits.
 func (f fields) callerLimits(element string) (CallerLimits, error) {
 	var l CallerLimits
 	var failures [4]error
@@ -240,7 +242,7 @@
 	return l, errors.Join(failures[:]...)
 }
 
-// appendRoute rebuilds one route.
+// appendRoute parses the fields of a route and appends it to c.
 func (f fields) appendRoute(c *Configuration, element, name string) error {
 	class, ok := ParseClass(f[element+"/Class"])
 	if !ok {
@@ -278,18 +280,18 @@
 	return nil
 }
 
-// formatMillis returns the shortest text that parses to the same value.
+// formatMillis returns the shortest decimal text that parses to the same value.
 func formatMillis(m clock.Millis) string {
 	return strconv.FormatFloat(float64(m), 'f', -1, 64)
 }
 
-// parseMillis returns the time that formatMillis wrote.
+// parseMillis parses the text that formatMillis returns.
 func parseMillis(text string) (clock.Millis, error) {
 	m, err := strconv.ParseFloat(text, 64)
 	return clock.Millis(m), err
 }
 
-// parseBytes returns a number of bytes.
+// parseBytes parses a decimal number of bytes.
 func parseBytes(text string) (ident.Bytes, error) {
 	n, err := strconv.ParseInt(text, 10, 64)
 	return ident.Bytes(n), err
@@ -304,7 +306,7 @@
 	return strings.Join(texts, ",")
 }
 
-// parseParts returns the parts that formatParts wrote; none for empty text.
+// parseParts parses the text that formatParts returns; empty text means no parts.
 func parseParts(text string) ([]Part, error) {
 	if text == "" {
 		return nil, nil
--- a/core/model/elements.go
+++ b/core/model/elements.go
@@ -7,8 +7,8 @@
 	"hickoryrail/core/sets"
 )
 
-// differing returns the elements that two sorted configurations do not share, so that
-// the cost of a delta depends on what differs and not on the number of routes.
+// differing returns the elements in which two sorted configurations differ. It keeps
+// the cost of a delta proportional to its changes rather than to the number of routes.
 func differing(a, b Configuration) (onlyA, onlyB Configuration) {
 	onlyA.Inventory.FailureDomains, onlyB.Inventory.FailureDomains = differingElements(
 		a.Inventory.FailureDomains, b.Inventory.FailureDomains, domainName, equalElements)
@@ -22,8 +22,8 @@
 	return onlyA, onlyB
 }
 
-// differingElements returns the elements of two lists, each in order of name, that
-// have no equal element in the other list.
+// differingElements returns the elements of each list that have no equal element in
+// the other list. Both lists are in order of name.
 func differingElements[E any](a, b []E, name func(*E) string, equal func(x, y *E) bool) (onlyA, onlyB []E) {
 	for len(a) > 0 && len(b) > 0 {
 		order := cmp.Compare(name(&a[0]), name(&b[0]))
@@ -41,8 +41,8 @@
 	return append(onlyA, a...), append(onlyB, b...)
 }
 
-// partition returns the elements of c that are named, and the others. The names are
-// those of elementOf.
+// partition returns the elements of c whose names, in the form of elementOf, are in
+// named, and the others.
 func (c Configuration) partition(named sets.Set[string]) (in, out Configuration) {
 	in.Inventory.FailureDomains, out.Inventory.FailureDomains = partitionElements(
 		c.Inventory.FailureDomains, named, domainKind, domainName)
@@ -70,8 +70,8 @@
 	return in, out
 }
 
-// join returns the elements of both configurations. Only one of them has bounds for
-// callers.
+// join returns the elements of both configurations. At most one of them has caller
+// limits.
 func (c Configuration) join(o Configuration) Configuration {
 	out := Configuration{
 		Inventory: Inventory{
@@ -95,10 +95,10 @@
 // routeName returns a route's name.
 func routeName(r *Route) string { return string(r.Name) }
 
-// equalElements compares two elements without lists.
+// equalElements reports whether two comparable elements are equal.
 func equalElements[E comparable](a, b *E) bool { return *a == *b }
 
-// equalRoutes compares two routes.
+// equalRoutes reports whether two routes are equal.
 func equalRoutes(a, b *Route) bool {
 	return a.Name == b.Name && a.Host == b.Host && a.PathPrefix == b.PathPrefix &&
 		a.Service == b.Service && slices.Equal(a.Parts, b.Parts) &&
--- a/core/model/inventory.go
+++ b/core/model/inventory.go
@@ -9,7 +9,7 @@
 
 const (
 	// Check is for price, stock, credit, availability and standing checks, which
-	// must answer promptly.
+	// must be answered quickly.
 	Check Class = iota
 	// Action is for orders, reservations, invoices, bookings and redemptions.
 	Action
@@ -18,8 +18,8 @@
 )
 
 type (
-	// Class orders requests that wait for the same target; the lower one goes
-	// first.
+	// Class is the priority of requests that wait for the same target; a lower value
+	// goes first.
 	Class uint8
 
 	// FailureDomain is a set of servers that can fail together.
@@ -40,15 +40,15 @@
 		// Connections is the number of connections that each target accepts; at
 		// least Slots.
 		Connections ident.Connections
-		// TargetSlots says that each target announces its own slots; Slots is then
-		// 0.
+		// TargetSlots means that each target announces its own number of slots; Slots
+		// is then 0.
 		TargetSlots bool `cbor:",omitempty"`
-		// HealthPath is the path of the targets' health checks; empty if they have
+		// HealthPath is the path of the targets' health checks; empty if there are
 		// none.
 		HealthPath string `cbor:",omitempty"`
 	}
 
-	// Part is one service of a split route with its share of the requests.
+	// Part is one service of a split route with its weight.
 	Part struct {
 		// Service is in the inventory of the same configuration.
 		Service ident.ServiceName
@@ -56,7 +56,8 @@
 		Weight int
 	}
 
-	// Inventory lists what exists. Order carries no meaning.
+	// Inventory lists the failure domains and the services. The order of the lists has
+	// no meaning.
 	Inventory struct {
 		FailureDomains []FailureDomain
 		Services       []Service
@@ -66,18 +67,18 @@
 	Route struct {
 		// Name is unique in the rules and not empty.
 		Name ident.RouteName
-		// Host is the host that the route belongs to; routes without one serve the
-		// requests for hosts that no route names.
+		// Host is the host name whose requests the route serves; a route without one
+		// serves the requests for hosts that no other route names.
 		Host string `cbor:",omitempty"`
 		// PathPrefix starts with a slash and is unique among the routes of its
-		// host; the longest matching prefix wins.
+		// host; the longest matching prefix applies.
 		PathPrefix string
-		// Service is in the inventory of the same configuration. It is empty
-		// exactly when there are Parts.
+		// Service is in the inventory of the same configuration. It is empty if and
+		// only if there are Parts.
 		Service ident.ServiceName
 		// Parts split the route's requests among services by weight.
 		Parts []Part `cbor:",omitempty"`
-		// Class orders the requests at the admission gate.
+		// Class is the priority of the requests at the admission gate.
 		Class Class
 		// Idempotent allows a request to be retried after it may have run.
 		Idempotent bool
@@ -88,38 +89,37 @@
 		// HedgeAfterMillis is the delay before a second attempt of an idempotent
 		// check: 0 derives it from the observed delays, below 0 turns it off.
 		HedgeAfterMillis clock.Millis
-		// GoalMillis is the response time that callers hope for; 0 if none is
-		// stated.
+		// GoalMillis is the response-time goal; 0 means none.
 		GoalMillis clock.Millis `cbor:",omitempty"`
 	}
 
-	// CallerLimits bounds what a caller may send and how long it may take. A zero
-	// field leaves the bound to the node's settings.
+	// CallerLimits bounds the size and the duration of callers' requests. A zero field
+	// means the bound of the node's settings.
 	CallerLimits struct {
 		HeaderBytes ident.Bytes
 		BodyBytes   ident.Bytes
-		// HeaderMillis bounds the arrival of a request's header.
+		// HeaderMillis bounds the time in which a request's header arrives.
 		HeaderMillis clock.Millis
 		// IdleMillis is how long a connection may stay open without a request.
 		IdleMillis clock.Millis
 	}
 
-	// Rules are the operators' additions to the inventory.
+	// Rules are the routes and limits that operators add to the inventory.
 	Rules struct {
 		Routes []Route
-		// Callers holds for all routes.
+		// Callers applies to all routes.
 		Callers CallerLimits `cbor:",omitzero"`
 	}
 
-	// Configuration is one inventory with its rules. It is a value: nothing
-	// changes it once it is part of a release.
+	// Configuration is an inventory with its rules. It is immutable once it is part of a
+	// release.
 	Configuration struct {
 		Inventory Inventory
 		Rules     Rules
 	}
 )
 
-// Services returns the services that the route leads to.
+// Services returns the services that the route sends requests to.
 func (r *Route) Services() []ident.ServiceName {
 	if len(r.Parts) == 0 {
 		return []ident.ServiceName{r.Service}
@@ -134,7 +134,7 @@
 // classNames holds the text form of each class.
 var classNames = [...]string{"Check", "Action", "Browse"}
 
-// String returns the class's name as it stands in rules and logs.
+// String returns the class's name as used in rules and logs.
 func (c Class) String() string {
 	if int(c) < len(classNames) {
 		return classNames[c]
@@ -142,7 +142,7 @@
 	return "Class(" + string('0'+rune(c%10)) + ")"
 }
 
-// ParseClass returns the class with that name.
+// ParseClass returns the class with the given name.
 func ParseClass(text string) (Class, bool) {
 	for i, name := range classNames {
 		if name == text {
@@ -152,7 +152,8 @@
 	return Browse, false
 }
 
-// ClassNames returns the names of all classes, for messages.
+// ClassNames returns the names of all classes, for use in messages. The caller must not
+// modify the slice.
 func ClassNames() []string {
 	return classNames[:]
 }
--- a/core/model/model_test.go
+++ b/core/model/model_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// drawConfiguration returns a valid configuration of few names and values, so
-// that two of them have much in common.
+// drawConfiguration draws a valid configuration from few names and values, so that two
+// of them have many elements in common.
 func drawConfiguration(t *rapid.T) Configuration {
 	var c Configuration
 	for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 4), 1, 5, rapid.ID[int]).Draw(t, "services") {
@@ -58,7 +58,7 @@
 	return c
 }
 
-// drawRelease returns a release with version v.
+// drawRelease draws a release with version v.
 func drawRelease(t *rapid.T, v ident.Version) Release {
 	r, err := NewRelease(v, ident.EditID(fmt.Sprintf("e%d", v)), drawConfiguration(t))
 	if err != nil {
@@ -73,15 +73,15 @@
 		a.Configuration.Digest() == b.Configuration.Digest() && len(Diff(a.Configuration, b.Configuration)) == 0
 }
 
-// TestDelta guards against a delta that does not lead to the release it was made
-// for, and against a change of the release it starts from.
+// TestDelta guards against a delta that doesn't result in the release it was made for,
+// and against Apply changing the base release.
 func TestDelta(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := drawRelease(t, 3), drawRelease(t, 5)
 		before := EncodeRelease(a)
 		got, err := MakeDelta(a, b).Apply(a)
 		if err != nil || !equal(got, b) {
-			t.Fatalf("delta leads to %+v: %v", got, err)
+			t.Fatalf("delta results in %+v: %v", got, err)
 		}
 		if !slices.Equal(EncodeRelease(a), before) {
 			t.Fatal("the base release has changed")
@@ -89,8 +89,8 @@
 	})
 }
 
-// TestCorruptedDelta guards against a damaged delta that is applied in part or
-// leads to another configuration.
+// TestCorruptedDelta guards against a corrupted delta that is applied in part or results
+// in another configuration.
 func TestCorruptedDelta(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := drawRelease(t, 3), drawRelease(t, 5)
@@ -134,33 +134,33 @@
 	})
 }
 
-// TestMerge guards against a merge that loses or invents a change, or that
-// depends on who came first.
+// TestMerge guards against a merge that loses a change, adds one that no side made, or
+// depends on the order of the two sides.
 func TestMerge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base, head, edited := drawConfiguration(t), drawConfiguration(t), drawConfiguration(t)
 		merged, clashes := Merge(base, head, edited)
 		other, otherClashes := Merge(base, edited, head)
 		if (len(clashes) == 0) != (len(otherClashes) == 0) {
-			t.Fatalf("clashes are %v one way and %v the other", clashes, otherClashes)
+			t.Fatalf("clashes are %v in one order and %v in the other", clashes, otherClashes)
 		}
-		mine, theirs := make(map[string]string), make(map[string]string)
+		editedValues, headValues := make(map[string]string), make(map[string]string)
 		for _, c := range Diff(base, edited) {
-			mine[c.Field] = c.New
+			editedValues[c.Field] = c.New
 		}
 		for _, c := range Diff(base, head) {
-			theirs[c.Field] = c.New
+			headValues[c.Field] = c.New
 		}
-		for field, value := range mine {
-			v, both := theirs[field]
+		for field, value := range editedValues {
+			v, both := headValues[field]
 			if both && v != value && !slices.Contains(clashes, field) {
 				t.Fatalf("%s is not among the clashes %v", field, clashes)
 			}
 		}
 		if len(clashes) > 0 {
 			for _, field := range clashes {
-				if _, changed := mine[field]; !changed {
-					t.Fatalf("%s clashes and was not edited", field)
+				if _, changed := editedValues[field]; !changed {
+					t.Fatalf("%s clashes although it was not edited", field)
 				}
 			}
 			return
@@ -169,25 +169,25 @@
 			t.Fatalf("merges differ: %+v and %+v", merged, other)
 		}
 		for _, c := range Diff(merged, edited) {
-			if _, changed := mine[c.Field]; changed {
-				t.Fatalf("the edit's %s is lost", c.Field)
+			if _, changed := editedValues[c.Field]; changed {
+				t.Fatalf("the change of %s is lost", c.Field)
 			}
 		}
 		for _, c := range Diff(head, merged) {
-			if _, changed := mine[c.Field]; !changed {
-				t.Fatalf("%s changes without an edit", c.Field)
+			if _, changed := editedValues[c.Field]; !changed {
+				t.Fatalf("%s changes although it was not edited", c.Field)
 			}
 		}
 	})
 }
 
-// TestDigest guards against equal configurations with different digests, and
-// different ones with the same.
+// TestDigest guards against equal configurations with different digests, and different
+// configurations with the same digest.
 func TestDigest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := drawConfiguration(t), drawConfiguration(t)
 		if (a.Digest() == b.Digest()) != (len(Diff(a, b)) == 0) {
-			t.Fatalf("digests and differences disagree: %+v and %+v", a, b)
+			t.Fatalf("Digest and Diff disagree on equality: %+v and %+v", a, b)
 		}
 		c := a
 		c.Inventory.Services = rapid.Permutation(a.Inventory.Services).Draw(t, "services")
@@ -198,8 +198,8 @@
 	})
 }
 
-// TestRelease guards against a release that changes when it is encoded, and
-// against a damaged body that passes for a release with the same digest.
+// TestRelease guards against a release that changes when it is encoded and decoded, and
+// against a corrupted body that is accepted with another configuration.
 func TestRelease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := drawRelease(t, 7)
@@ -212,15 +212,16 @@
 		body[i] ^= byte(rapid.IntRange(1, 255).Draw(t, "flip"))
 		got, err = DecodeRelease(body)
 		if err == nil && len(Diff(got.Configuration, r.Configuration)) > 0 {
-			t.Fatalf("damaged body decodes to %+v", got)
+			t.Fatalf("corrupted body decodes to %+v", got)
 		}
 		if err != nil && got.Version != 0 {
-			t.Fatalf("error %v comes with release %+v", err, got)
+			t.Fatalf("error %v is returned with release %+v", err, got)
 		}
 	})
 }
 
-// TestDecodeReleaseIsStrict guards against a body with missing or further bytes.
+// TestDecodeReleaseIsStrict guards against accepting a body with missing or trailing
+// bytes, or a release without a version.
 func TestDecodeReleaseIsStrict(t *testing.T) {
 	is := is.New(t)
 	r, err := NewRelease(1, "e", Configuration{})
@@ -252,8 +253,8 @@
 	return r
 }
 
-// FuzzDecodeRelease guards against a panic, and against an accepted release that
-// is not whole or does not encode and decode to itself.
+// FuzzDecodeRelease guards against a panic, and against an accepted release that is
+// invalid or does not encode and decode to itself.
 func FuzzDecodeRelease(f *testing.F) {
 	f.Add(EncodeRelease(seedRelease(1, 1)))
 	f.Add([]byte{0xa0})
@@ -271,8 +272,8 @@
 	})
 }
 
-// FuzzApply guards against a panic on a delta of any content, and against one that
-// is applied and does not lead to the release with its digest.
+// FuzzApply guards against a panic on a delta with arbitrary changes, and against a delta
+// that is applied without resulting in the release with its digest.
 func FuzzApply(f *testing.F) {
 	from, to := seedRelease(1, 1), seedRelease(2, 2)
 	f.Add("Service/s/Slots", "1", "2", "", "", "")
@@ -282,13 +283,13 @@
 		d := MakeDelta(from, to)
 		d.Changes = []Change{{Field: field, Old: before, New: after}, {Field: field2, Old: before2, New: after2}}
 		if got, err := d.Apply(from); err == nil && !equal(got, to) {
-			t.Errorf("leads to %+v", got)
+			t.Errorf("delta results in %+v", got)
 		}
 	})
 }
 
-// TestMergeRemoval guards against a removal that discards another edit's change of
-// the same element, or the other way round.
+// TestMergeRemoval guards against the removal of an element that discards another edit's
+// change of it, and against a change that discards a removal.
 func TestMergeRemoval(t *testing.T) {
 	is := is.New(t)
 	service := func(name ident.ServiceName, slots ident.Slots) Service {
@@ -306,8 +307,8 @@
 	is.Equal(merged.Digest(), removed.Digest())
 }
 
-// TestDeltaCostFollowsChange guards against a delta whose cost grows with the
-// configuration: nodes with a small share of a processor then stall at each release.
+// TestDeltaCostFollowsChange guards against a delta whose cost grows with the size of the
+// configuration: nodes with a small share of a CPU then stall at each release.
 func TestDeltaCostFollowsChange(t *testing.T) {
 	is := is.New(t)
 	allocations := func(routes int) float64 {
--- a/core/model/release.go
+++ b/core/model/release.go
@@ -10,15 +10,15 @@
 	"hickoryrail/core/ident"
 )
 
-// Release is an accepted configuration.
+// Release is an accepted configuration with its version.
 type Release struct {
 	// Version is at least 1.
 	Version ident.Version
-	// EditID names the edit that became this release.
+	// EditID identifies the edit that became this release.
 	EditID ident.EditID
 	// Digest is the digest of Configuration.
 	Digest ident.Digest
-	// Configuration is valid.
+	// Configuration is valid; NewRelease puts its lists in order of name.
 	Configuration Configuration
 }
 
@@ -26,13 +26,13 @@
 	// ErrDigest reports a release whose configuration does not match its digest.
 	ErrDigest = errors.New("configuration does not match the release's digest")
 
-	// encoder writes one byte string for equal values.
+	// encoder encodes equal values as the same bytes.
 	encoder = codec.NewEncoder()
-	// decoder refuses unknown fields, duplicate keys and trailing bytes.
+	// decoder rejects unknown fields, duplicate keys and trailing bytes.
 	decoder = codec.NewDecoder(codec.Limits{})
 )
 
-// NewRelease returns the release of a configuration, or its Faults.
+// NewRelease returns the release of a configuration, or Faults if it is invalid.
 func NewRelease(v ident.Version, edit ident.EditID, c Configuration) (Release, error) {
 	if err := c.Validate(); err != nil {
 		return Release{}, err
@@ -41,8 +41,8 @@
 	return Release{Version: v, EditID: edit, Digest: c.Digest(), Configuration: c}, nil
 }
 
-// Digest returns the digest of the canonical encoding; the order of services,
-// failure domains and routes does not count.
+// Digest returns the digest of the canonical encoding. It doesn't depend on the order
+// of services, failure domains and routes.
 func (c Configuration) Digest() ident.Digest {
 	body, err := encoder.Marshal(c.sorted())
 	if err != nil {
@@ -51,21 +51,21 @@
 	return ident.Sum(body)
 }
 
-// sorted returns c with its lists in order of name. Lists that are in order are
-// shared with c.
+// sorted returns c with its lists in order of name. Lists that are in order already
+// are shared with c.
 func (c Configuration) sorted() Configuration {
 	return Configuration{
 		Inventory: Inventory{
-			FailureDomains: inOrder(c.Inventory.FailureDomains, domainName),
-			Services:       inOrder(c.Inventory.Services, serviceName),
+			FailureDomains: sortedByName(c.Inventory.FailureDomains, domainName),
+			Services:       sortedByName(c.Inventory.Services, serviceName),
 		},
-		Rules: Rules{Routes: inOrder(c.Rules.Routes, routeName), Callers: c.Rules.Callers},
+		Rules: Rules{Routes: sortedByName(c.Rules.Routes, routeName), Callers: c.Rules.Callers},
 	}
 }
 
-// inOrder returns the elements in order of name, in a new list unless they are so
-// already.
-func inOrder[E any](list []E, name func(*E) string) []E {
+// sortedByName returns the elements in order of name. The result is list itself if it is
+// in order already, and otherwise a copy.
+func sortedByName[E any](list []E, name func(*E) string) []E {
 	byName := func(a, b E) int { return cmp.Compare(name(&a), name(&b)) }
 	if slices.IsSortedFunc(list, byName) {
 		return list
@@ -75,7 +75,7 @@
 	return list
 }
 
-// EncodeRelease returns the release in canonical CBOR.
+// EncodeRelease returns the canonical CBOR encoding of a release.
 func EncodeRelease(r Release) []byte {
 	body, err := encoder.Marshal(r)
 	if err != nil {
@@ -84,8 +84,8 @@
 	return body
 }
 
-// DecodeRelease decodes, validates and checks the digest. It returns an error
-// for anything that is not a whole, valid release.
+// DecodeRelease decodes a release. It returns an error unless body is the encoding of
+// exactly one release that passes Check.
 func DecodeRelease(body []byte) (Release, error) {
 	var r Release
 	if err := decoder.Unmarshal(body, &r); err != nil {
@@ -97,7 +97,7 @@
 	return r, nil
 }
 
-// Check returns an error unless r is a whole, valid release.
+// Check returns an error unless r has a version, a valid configuration and its digest.
 func (r Release) Check() error {
 	if r.Version == 0 {
 		return errors.New("release has version 0")
--- a/core/model/validate.go
+++ b/core/model/validate.go
@@ -9,46 +9,46 @@
 )
 
 const (
-	// MaxTimeoutMillis bounds a route's timeout.
+	// MaxTimeoutMillis bounds a route's timeout, hedge delay and response-time goal.
 	MaxTimeoutMillis = 120_000
 	// MaxRouteAttempts bounds a route's attempts.
 	MaxRouteAttempts = 5
 	// maxSlots bounds a service's slots and connections.
 	maxSlots = 100_000
-	// maxNameBytes bounds a name.
+	// maxNameBytes bounds the length of a name.
 	maxNameBytes = 64
-	// maxHostBytes bounds a host name (RFC 1035, 2.3.4).
+	// maxHostBytes bounds the length of a host name (RFC 1035, 2.3.4).
 	maxHostBytes = 253
 	// maxWeight bounds the weight of a part.
 	maxWeight = 1_000_000
 )
 
-// allowedClasses lists the names of the classes.
+// allowedClasses lists the names of the classes, for faults.
 var allowedClasses = strings.Join(classNames[:], ", ")
 
 type (
-	// Fault is one thing wrong with a configuration.
+	// Fault is one invalid value of a configuration.
 	Fault struct {
-		// Field names the value, such as Service/orders/Slots.
+		// Field is the name of the field, such as Service/orders/Slots.
 		Field string
-		// Value is the refused value in text form.
+		// Value is the invalid value in text form.
 		Value string
-		// Allowed says what would be accepted.
+		// Allowed describes the allowed values.
 		Allowed string
 	}
 
 	// Faults is a non-empty list of faults.
 	Faults []Fault
 
-	// checker collects faults.
+	// checker validates a configuration and collects its faults.
 	checker struct {
 		faults Faults
-		// kind and name are those of the element that is being checked.
+		// kind and name identify the element that is being checked.
 		kind, name string
 	}
 )
 
-// Error returns all faults, one a line.
+// Error returns all faults, one per line.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for i, fault := range f {
@@ -62,49 +62,50 @@
 	return fmt.Sprintf("%s: %q is not allowed: %s", f.Field, f.Value, f.Allowed)
 }
 
-// Validate returns nil or Faults with everything that is wrong.
+// Validate returns Faults with all invalid values, or nil if there are none.
 func (c Configuration) Validate() error {
 	var k checker
-	k.domains(c.Inventory.FailureDomains)
-	services := k.services(c.Inventory.Services)
-	k.routes(c.Rules.Routes, services)
-	k.limits(c.Rules.Callers)
+	k.checkDomains(c.Inventory.FailureDomains)
+	services := k.checkServices(c.Inventory.Services)
+	k.checkRoutes(c.Rules.Routes, services)
+	k.checkLimits(c.Rules.Callers)
 	if len(k.faults) > 0 {
 		return k.faults
 	}
 	return nil
 }
 
-// require records a fault of the element being checked unless ok. Text is made only
-// for faults, because a release may have thousands of values without one.
+// require records a fault of the element being checked unless ok. It formats text only
+// for faults, because a release may have thousands of valid values.
 func require[V any](k *checker, ok bool, field string, value V, allowed string) {
 	if !ok {
 		k.faults = append(k.faults, Fault{Field: k.kind + "/" + k.name + "/" + field, Value: fmt.Sprint(value), Allowed: allowed})
 	}
 }
 
-// element starts the check of an element whose name must be valid and new in seen.
-func (k *checker) element(seen sets.Set[string], kind, name string) {
+// startElement starts the check of an element. Its name must be valid and not yet in
+// seen, and is added to it.
+func (k *checker) startElement(seen sets.Set[string], kind, name string) {
 	k.kind, k.name = kind, name
-	require(k, validName(name), existence, name, "1 to 64 letters, digits, '-', '_' or '.'")
-	require(k, seen.Add(name), existence, name, "a name that is used once")
+	require(k, validName(name), nameField, name, "1 to 64 letters, digits, '-', '_' or '.'")
+	require(k, seen.Add(name), nameField, name, "a name that is used once")
 }
 
-// domains checks the failure domains.
-func (k *checker) domains(domains []FailureDomain) {
+// checkDomains checks the failure domains.
+func (k *checker) checkDomains(domains []FailureDomain) {
 	seen := sets.Of[string]()
 	for _, d := range domains {
-		k.element(seen, domainKind, string(d.Name))
+		k.startElement(seen, domainKind, string(d.Name))
 		require(k, validName(string(d.Region)), "Region", d.Region, "a region's name")
 	}
 }
 
-// services checks the services and returns their names.
-func (k *checker) services(services []Service) sets.Set[ident.ServiceName] {
+// checkServices checks the services and returns their names.
+func (k *checker) checkServices(services []Service) sets.Set[ident.ServiceName] {
 	seen := sets.Of[string]()
 	names := sets.Of[ident.ServiceName]()
 	for _, s := range services {
-		k.element(seen, serviceKind, string(s.Name))
+		k.startElement(seen, serviceKind, string(s.Name))
 		names.Add(s.Name)
 		if s.TargetSlots {
 			require(k, s.Slots == 0, "Slots", s.Slots, "0, because the targets announce their slots")
@@ -118,22 +119,22 @@
 	return names
 }
 
-// routes checks the routes against the services.
-func (k *checker) routes(routes []Route, services sets.Set[ident.ServiceName]) {
+// checkRoutes checks the routes; services holds the names of all services.
+func (k *checker) checkRoutes(routes []Route, services sets.Set[ident.ServiceName]) {
 	names, prefixes := sets.Of[string](), sets.Of[[2]string]()
 	for i := range routes {
 		r := &routes[i]
-		k.element(names, routeKind, string(r.Name))
+		k.startElement(names, routeKind, string(r.Name))
 		require(k, strings.HasPrefix(r.PathPrefix, "/"), "PathPrefix", r.PathPrefix, "a path that starts with '/'")
 		require(k, prefixes.Add([2]string{r.Host, r.PathPrefix}), "PathPrefix", r.PathPrefix, "a prefix that no other route has")
 		require(k, r.Host == "" || validHost(r.Host), "Host", r.Host, "a host name in lower case without a port")
-		k.destinations(r, services)
-		k.routeBounds(r)
+		k.checkDestinations(r, services)
+		k.checkRouteBounds(r)
 	}
 }
 
-// routeBounds checks a route's figures.
-func (k *checker) routeBounds(r *Route) {
+// checkRouteBounds checks that a route's class, times and attempts are within bounds.
+func (k *checker) checkRouteBounds(r *Route) {
 	require(k, int(r.Class) < len(classNames), "Class", r.Class, allowedClasses)
 	require(k, r.TimeoutMillis > 0 && r.TimeoutMillis <= MaxTimeoutMillis, "TimeoutMillis", r.TimeoutMillis, "above 0, at most 120000")
 	require(k, r.MaxAttempts >= 1 && r.MaxAttempts <= MaxRouteAttempts, "MaxAttempts", r.MaxAttempts, "1 to 5")
@@ -141,8 +142,8 @@
 	require(k, r.GoalMillis >= 0 && r.GoalMillis <= MaxTimeoutMillis, "GoalMillis", r.GoalMillis, "0 to 120000")
 }
 
-// destinations checks the service or the parts of a route.
-func (k *checker) destinations(r *Route, services sets.Set[ident.ServiceName]) {
+// checkDestinations checks the service of a route, or its parts.
+func (k *checker) checkDestinations(r *Route, services sets.Set[ident.ServiceName]) {
 	if len(r.Parts) == 0 {
 		require(k, services.Has(r.Service), "Service", r.Service, "a service of the inventory")
 		return
@@ -157,14 +158,14 @@
 	require(k, total > 0, "Parts", 0, "a weight above 0")
 }
 
-// limits checks the bounds for callers.
-func (k *checker) limits(l CallerLimits) {
+// checkLimits checks the caller limits.
+func (k *checker) checkLimits(l CallerLimits) {
 	ok := l.HeaderBytes >= 0 && l.BodyBytes >= 0 && l.HeaderMillis >= 0 && l.IdleMillis >= 0
 	k.kind, k.name = callersKind, callersName
 	require(k, ok, "Limits", "negative", "values from 0")
 }
 
-// validHost reports whether host is a host name in lower case.
+// validHost reports whether host is a valid host name in lower case.
 func validHost(host string) bool {
 	for label := range strings.SplitSeq(host, ".") {
 		if !validName(label) || label != strings.ToLower(label) {
@@ -174,7 +175,8 @@
 	return len(host) <= maxHostBytes
 }
 
-// validName reports whether name has an allowed form.
+// validName reports whether name is a valid name of an element, or label of a host
+// name.
 func validName(name string) bool {
 	if name == "" || len(name) > maxNameBytes {
 		return false
