--- a/core/retry/policy.go
+++ b/core/retry/policy.go
@@ -103,8 +103,8 @@
 		RetryFailures bool
 		// Rand is the source of the jitter of the backoff; required.
 		Rand *rand.Rand
-		// MaxAttempts bounds the attempts of a call, as does its route; the lower bound
-		// applies. 0 means DefaultMaxAttempts.
+		// MaxAttempts bounds the attempts of a call, as does its route; the smaller
+		// number applies. 0 means DefaultMaxAttempts.
 		MaxAttempts int
 		// BaseBackoffMillis is the mean backoff before the first retry; it doubles
 		// with each one. 0 means DefaultBaseBackoffMillis.
