--- a/io/proxy/path_test.go
+++ b/io/proxy/path_test.go
@@ -292,11 +292,12 @@
 	in.Policy.Budget.RecordCall(in.Clock.Now())
 	var calls atomic.Int64
 	f.fault = func(ctx context.Context, g *Gateway, body []byte) ([]byte, error) {
-		if calls.Add(1) == 1 {
+		number := calls.Add(1)
+		if number == 1 {
 			body = bytes.Replace(body, []byte("/check/echo"), []byte("/check/hold"), 1)
 		}
 		// The hedge waits until the held attempt runs, which its answer cancels.
-		for calls.Load() > 1 && ctx.Err() == nil && targets[0].runsOf("hedged")+targets[1].runsOf("hedged") == 0 {
+		for number > 1 && ctx.Err() == nil && targets[0].runsOf("hedged")+targets[1].runsOf("hedged") == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		return g.OnCall(ctx, "ingress", body), nil
