--- a/io/node/hosted.go
+++ b/io/node/hosted.go
@@ -154,7 +154,7 @@
 	n.ingress.Picker.Limits = route.Limits{
 		DomainFactor: hostedDomainFactor, LocalPair: true, StaleMillis: hostedStaleMillis,
 	}
-	n.ingress.Search = &route.FailFastPolicy{}
+	n.ingress.FailFast = &route.FailFastPolicy{}
 	n.ingress.LingerMillis = hostedLingerMillis
 	n.ingress.Dialect, n.ingress.Service = h.Dialect, h.Settings.Service
 	n.gateway.KeptBytes = hostedKeptBytes
--- a/io/node/targets.go
+++ b/io/node/targets.go
@@ -199,7 +199,7 @@
 
 // remove takes the target out of service. The caller holds mu.
 func (t *targets) remove(reason string) {
-	t.gateway.Leave()
+	t.gateway.RemoveTarget()
 	t.set(member.TargetLeft, reason)
 	t.announced = admin.Announcement{}
 }
--- a/io/proxy/attempt.go
+++ b/io/proxy/attempt.go
@@ -16,16 +16,16 @@
 	"hickoryrail/io/wire"
 )
 
-// tryHedged makes an attempt and, if it is slow, a second one. The first answer
-// wins and cancels the other attempt.
+// tryHedged makes an attempt and, if it has not ended by the instant at, a second
+// one. The first response with the verdict Ran wins and cancels the other attempt.
 func (in *Ingress) tryHedged(ctx context.Context, cancel context.CancelFunc, c *call, choice route.Choice, at clock.Millis) *wire.Response {
 	h := &hedge{result: make(chan *wire.Response, 1)}
-	sent := c.state.Sent
-	timer := time.AfterFunc((at - in.Clock.Now()).Duration(), func() { in.startHedge(c, h, cancel, sent+1) })
-	resp := in.attempt(ctx, c, choice, sent)
+	number := c.state.Sent
+	timer := time.AfterFunc((at - in.Clock.Now()).Duration(), func() { in.startHedge(c, h, cancel, number+1) })
+	resp := in.attempt(ctx, c, choice, number)
 	timer.Stop()
 	h.mu.Lock()
-	h.closed = true
+	h.firstEnded = true
 	started := h.started
 	h.mu.Unlock()
 	if !started {
@@ -33,12 +33,12 @@
 	}
 	c.state.Start(in.Clock.Now())
 	if resp.Verdict == result.Ran {
-		h.stop()
+		h.cancel()
 		c.state.End(result.Ran)
 		return resp
 	}
 	other := <-h.result
-	h.stop()
+	h.cancel()
 	if other.Verdict == result.NotRun {
 		resp, other = other, resp
 	}
@@ -46,16 +46,16 @@
 	return other
 }
 
-// startHedge starts the second attempt unless the first has ended, the policy
-// refuses or there is no other target.
+// startHedge starts the second attempt unless the first one has ended, the policy
+// refuses it or there is no untried target.
 func (in *Ingress) startHedge(c *call, h *hedge, cancelFirst context.CancelFunc, number int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.closed {
+	if h.firstEnded {
 		return
 	}
 	if len(c.view.Targets(c.route.Service)) <= len(c.tried) {
-		return // asking the policy would spend tokens for nothing
+		return // Policy.Hedge would spend a token of the budget on a hedge that cannot be sent
 	}
 	now := in.Clock.Now()
 	in.mu.Lock()
@@ -71,9 +71,9 @@
 		return
 	}
 	in.metrics.hedges.Inc()
-	ctx, stop := context.WithTimeout(c.ctx, (c.deadline - now).Duration())
-	h.started, h.stop = true, stop
-	in.group.Go(func() {
+	ctx, cancel := context.WithTimeout(c.ctx, (c.deadline - now).Duration())
+	h.started, h.cancel = true, cancel
+	in.background.Go(func() {
 		resp := in.attempt(ctx, c, choice, number)
 		h.result <- resp
 		if resp.Verdict == result.Ran {
@@ -82,15 +82,16 @@
 	})
 }
 
-// looks reports whether the next attempt of a call only looks for a free slot.
-func (in *Ingress) looks(c *call) bool {
-	if in.Search == nil {
+// shouldFailFast reports whether the next attempt of a call is to be refused at once
+// unless a slot is free now or soon.
+func (in *Ingress) shouldFailFast(c *call) bool {
+	if in.FailFast == nil {
 		return false
 	}
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	others := len(c.view.Targets(c.route.Service)) - len(c.tried)
-	return in.Search.ShouldFailFast(c.route.Service, c.state.FastRefusals, max(others, 0))
+	return in.FailFast.ShouldFailFast(c.route.Service, c.state.FastRefusals, max(others, 0))
 }
 
 // attempt sends one attempt to the chosen gate and reports its outcome to the
@@ -100,13 +101,13 @@
 	sent := in.Clock.Now()
 	r := c.request
 	r.ID = ident.RequestID(c.id + "-" + strconv.Itoa(number))
-	r.Repeated = c.repeated || c.state.Arrivals > 0
-	r.Looks = in.looks(c)
+	r.Repeated = c.parentRepeated || c.state.Arrivals > 0
+	r.Looks = in.shouldFailFast(c)
 	r.Gate, r.Target, r.Attempt = choice.Target.GateIncarnation, choice.Target.ID, number
 	left := c.deadline - sent
-	r.RemainingMillis = max(left-min(hopMillis, left*hopShare), 0)
+	r.RemainingMillis = max(left-min(hopReserveMillis, left*maxHopReserveShare), 0)
 	if r.HasGoal {
-		r.GoalMillis = c.began + c.route.GoalMillis - sent
+		r.GoalMillis = c.firstTriedAt + c.route.GoalMillis - sent
 	}
 	var resp *wire.Response
 	var err error
@@ -118,9 +119,9 @@
 	now := in.Clock.Now()
 	o := route.Outcome{Delay: now - sent, Gate: choice.Target.GateIncarnation}
 	if err != nil {
-		// A call that this node gave up says nothing about its target.
+		// An attempt that this node cancelled is no evidence against its target.
 		o.Failed = ctx.Err() == nil || now >= c.deadline
-		resp = in.failed(c, choice.Target, &r, err)
+		resp = in.resolveUnanswered(c, choice.Target, &r, err)
 	} else {
 		o.Failed = failedAtTarget(resp)
 		o.Load, o.HasLoad = resp.Load, true
@@ -129,9 +130,9 @@
 	in.mu.Lock()
 	in.Picker.Done(now, choice.Target.ID, o)
 	if r.Looks && o.Verdict != result.MayHaveRun {
-		in.Search.Record(c.route.Service, resp.Reason != admit.ReasonNoFreeSlot)
+		in.FailFast.Record(c.route.Service, resp.Reason != admit.ReasonNoFreeSlot)
 	}
-	in.drainEvents()
+	in.recordEjections()
 	in.mu.Unlock()
 	return resp
 }
@@ -152,9 +153,10 @@
 	return a.Response, nil
 }
 
-// failed returns the outcome of an attempt that got no answer from its gate. An
-// action that may have run is voided on a fresh connection while there is time.
-func (in *Ingress) failed(c *call, t view.Target, r *wire.Request, err error) *wire.Response {
+// resolveUnanswered returns the outcome of an attempt without a response from its
+// gate. An attempt that is not idempotent and may have run is voided on a fresh
+// connection while there is time.
+func (in *Ingress) resolveUnanswered(c *call, t view.Target, r *wire.Request, err error) *wire.Response {
 	resp := &wire.Response{Verdict: result.Of(err), Reason: result.Reason(err)}
 	now := in.Clock.Now()
 	if resp.Verdict == result.NotRun {
@@ -172,7 +174,7 @@
 	left := c.deadline - now
 	ctx, cancel := context.WithTimeout(context.Background(), left.Duration())
 	defer cancel()
-	v := wire.Void{ID: r.ID, Gate: r.Gate, RemainingMillis: max(left-min(hopMillis, left*hopShare), 0)}
+	v := wire.Void{ID: r.ID, Gate: r.Gate, RemainingMillis: max(left-min(hopReserveMillis, left*maxHopReserveShare), 0)}
 	body, err := in.Peers.CallFresh(ctx, t.Node, t.Address, encode(wire.Call{Void: &v}))
 	if err != nil {
 		return resp
@@ -184,18 +186,18 @@
 	case a.Response != nil:
 		return a.Response
 	case a.Voided.Verdict == result.NotRun:
-		in.record(logs.Retry, in.Clock.Now(), c, r.Attempt, t.ID, result.NotRun, reasonVoid)
+		in.record(logs.Retry, in.Clock.Now(), c, r.Attempt, t.ID, result.NotRun, reasonVoided)
 		resp.Verdict = result.NotRun
 	}
 	return resp
 }
 
-// failedAtTarget reports whether a gate's response is evidence against its
-// target. A refusal by a full or draining gate is not.
+// failedAtTarget reports whether a gate's response counts as a failure of its target.
+// A refusal by a full or draining gate does not.
 func failedAtTarget(resp *wire.Response) bool {
 	switch resp.Verdict {
 	case result.Ran:
-		return resp.Status >= failureStatus
+		return resp.Status >= minFailureStatus
 	case result.NotRun:
 		return resp.Reason == reasonNoConnection || resp.Reason == reasonNoBytes
 	}
--- a/io/proxy/dialect.go
+++ b/io/proxy/dialect.go
@@ -9,52 +9,56 @@
 )
 
 type (
-	// Dialect holds the names of the header fields and the rules for answers that
-	// callers and targets follow. The zero value is hickoryrail's own.
+	// Dialect defines the header names and the response rules that callers and
+	// targets use. The zero value stands for hickoryrail's own.
 	Dialect struct {
-		// Timeout is the field with the remaining time in milliseconds.
-		Timeout string
-		// Request is the field that carries the caller's id of a request. If it is
-		// empty, the node's own id is sent in headerRequest.
-		Request string
-		// Parent returns the id of the request that made a call, by the call's own
-		// id; empty for a request of a caller. Nil if ids do not tell.
-		Parent func(id []byte) []byte
-		// Origin is the field that names the service on the machine where a request
-		// began; empty sends none.
-		Origin string
-		// Target is the field that names the target that a request is for; empty
-		// sends none.
-		Target string
-		// Proof is the field without which a success is not the target's; empty
-		// asks for none.
-		Proof string
-		// Unexecuted reports whether an answer says that the request was not run.
-		// Nil takes no answer for that.
+		// TimeoutHeader names the header with the remaining time in milliseconds;
+		// empty means headerTimeout.
+		TimeoutHeader string
+		// RequestIDHeader names the header with the caller's id of a request. If it
+		// is empty, the node sends its own id in headerRequest.
+		RequestIDHeader string
+		// ParentID returns the id of the request on whose behalf a call is made,
+		// given the id of the call; empty for a request without a parent. Nil means
+		// that ids do not identify a parent.
+		ParentID func(id []byte) []byte
+		// OriginHeader names the header with the service on the machine where a
+		// request originated; if empty, none is sent.
+		OriginHeader string
+		// TargetHeader names the header with the id of the target that a request is
+		// for; if empty, none is sent.
+		TargetHeader string
+		// SignatureHeader names the header that a successful response must have to
+		// count as the target's own; empty disables the check.
+		SignatureHeader string
+		// Unexecuted reports whether a response states that the request was not run.
+		// Nil means that no response does.
 		Unexecuted func(status int, header func(name string) []byte) bool
-		// Outcome returns the status and the delay before the next try for an
-		// outcome without an answer of the target; a negative delay sends none. Nil
-		// leaves both to the product.
-		Outcome func(v result.Verdict, status int, reason string) (int, clock.Millis)
-		// RetryAfter formats a delay for the field of that name.
-		RetryAfter func(clock.Millis) string
-		// Plain leaves out the product's own fields on answers.
-		Plain bool
+		// ErrorStatus returns the HTTP status and the Retry-After delay for an
+		// outcome without a response from the target; a negative delay omits the
+		// header. Nil keeps the default status and omits the header.
+		ErrorStatus func(v result.Verdict, status int, reason string) (int, clock.Millis)
+		// FormatRetryAfter formats a delay for the Retry-After header; required with
+		// ErrorStatus.
+		FormatRetryAfter func(clock.Millis) string
+		// OmitVerdictHeaders leaves headerVerdict and headerReason out of responses
+		// to callers.
+		OmitVerdictHeaders bool
 	}
 )
 
-// withDefaults returns d with the product's own names in place of empty ones.
+// withDefaults returns d with the default of each required header name that is empty.
 func (d Dialect) withDefaults() Dialect {
-	if d.Timeout == "" {
-		d.Timeout = headerTimeout
+	if d.TimeoutHeader == "" {
+		d.TimeoutHeader = headerTimeout
 	}
 	return d
 }
 
-// sets reports whether the node itself sets a field of a request, so that the
+// setsHeader reports whether the node itself sets a request header, so that the
 // caller's value is dropped.
-func (d *Dialect) sets(name []byte) bool {
-	for _, own := range [...]string{d.Timeout, d.Origin, d.Target} {
+func (d *Dialect) setsHeader(name []byte) bool {
+	for _, own := range [...]string{d.TimeoutHeader, d.OriginHeader, d.TargetHeader} {
 		if own != "" && len(own) == len(name) && strings.EqualFold(own, string(name)) {
 			return true
 		}
@@ -62,20 +66,22 @@
 	return false
 }
 
-// proves reports whether an answer is the target's own whole one.
-func (d *Dialect) proves(status int, header func(name string) []byte) bool {
-	if d.Proof == "" {
+// isSigned reports whether a response is the target's own and complete: a success
+// must have SignatureHeader and no Content-Encoding.
+func (d *Dialect) isSigned(status int, header func(name string) []byte) bool {
+	if d.SignatureHeader == "" {
 		return true
 	}
 	success := status >= 200 && status < 300
-	return !success || len(header(d.Proof)) > 0 && len(header("Content-Encoding")) == 0
+	return !success || len(header(d.SignatureHeader)) > 0 && len(header("Content-Encoding")) == 0
 }
 
-// answers reports whether an answer is for the request with an id.
-func (d *Dialect) answers(id []byte, header func(name string) []byte) bool {
-	if d.Request == "" || len(id) == 0 {
+// matchesRequest reports whether a response belongs to the request with the given id.
+// A response without an id matches.
+func (d *Dialect) matchesRequest(id []byte, header func(name string) []byte) bool {
+	if d.RequestIDHeader == "" || len(id) == 0 {
 		return true
 	}
-	echoed := header(d.Request)
+	echoed := header(d.RequestIDHeader)
 	return len(echoed) == 0 || bytes.Equal(echoed, id)
 }
--- a/io/proxy/drain_test.go
+++ b/io/proxy/drain_test.go
@@ -14,11 +14,12 @@
 	"github.com/matryer/is"
 )
 
-// TestDrainCutsNoRequest guards against a stop that cuts a request in flight or
-// closes a connection on a request without an answer.
+// TestDrainCutsNoRequest guards against a stop that interrupts a request in flight,
+// or that closes a connection on which a request has arrived without a response to
+// it.
 func TestDrainCutsNoRequest(t *testing.T) {
 	is := is.New(t)
-	target := newStandIn(t)
+	target := newFakeTarget(t)
 	in := newIngress(t, newFleet(t, 64, target))
 	const workers = 16
 	var ran atomic.Int64
@@ -41,7 +42,7 @@
 					t.Errorf("request was cut: %v", err)
 					return
 				case resp.Header.Get(headerVerdict) == "NotRun":
-					if target.runsOf(body) != 0 {
+					if target.runCount(body) != 0 {
 						t.Errorf("refused request ran")
 					}
 					return
@@ -61,11 +62,11 @@
 	is.Equal(int64(len(target.runs)), ran.Load()) // every request that ran was answered
 }
 
-// TestGatewayDrainFinishesCalls guards against a drain that cuts or outlives the
-// running calls, runs waiting ones, or lets new ones in.
+// TestGatewayDrainFinishesCalls guards against a drain that interrupts running calls
+// or ends before them, starts waiting calls, or admits new ones.
 func TestGatewayDrainFinishesCalls(t *testing.T) {
 	is := is.New(t)
-	target := newStandIn(t)
+	target := newFakeTarget(t)
 	f := newFleet(t, 2, target)
 	in := newIngress(t, f)
 	g := f.gateways["node-0"]
@@ -85,7 +86,7 @@
 	}
 	drained := make(chan error, 1)
 	go func() { drained <- g.Drain(context.Background()) }()
-	is.Equal(<-verdicts, "NotRun") // the two that wait
+	is.Equal(<-verdicts, "NotRun") // the two waiting calls
 	is.Equal(<-verdicts, "NotRun")
 	resp, _, err := send(http.DefaultClient, in, "/order/echo", "new")
 	is.NoErr(err)
@@ -99,6 +100,6 @@
 	is.Equal(<-verdicts, "Ran")
 	is.Equal(<-verdicts, "Ran")
 	is.NoErr(<-drained)
-	is.Equal(target.peak, int64(2)) // after the last handler
+	is.Equal(target.maxOpen, int64(2)) // read without mu, since the last handler has returned
 	is.Equal(g.Announce(Announcement{Target: "target-0", Address: target.address, Slots: 2, Connections: 2}), ErrDraining)
 }
--- a/io/proxy/forward.go
+++ b/io/proxy/forward.go
@@ -20,70 +20,76 @@
 )
 
 const (
-	// hopMillis is kept back at each hop, so that a gate's refusal at the
-	// deadline reaches the caller in time.
-	hopMillis = 2 * clock.Millis(1)
-	// hopShare bounds hopMillis as a share of the remaining time.
-	hopShare = 0.1
-	// failureStatus is the least status of an answer that reports a failure of the
+	// hopReserveMillis is subtracted from the remaining time at each hop, so that a
+	// refusal by the gate at its deadline reaches the caller in time.
+	hopReserveMillis = 2 * clock.Millis(1)
+	// maxHopReserveShare bounds the reserve as a share of the remaining time.
+	maxHopReserveShare = 0.1
+	// minFailureStatus is the lowest HTTP status that counts as a failure of the
 	// target.
-	failureStatus = 500
+	minFailureStatus = 500
 )
 
 // Reasons of an attempt.
 const (
 	reasonNoPeers = "node has no transport"
-	reasonVoid    = "attempt was voided on a fresh connection"
+	reasonVoided  = "attempt was voided on a fresh connection"
 )
 
 type (
-	// call is one request of a caller. It owns its memory.
+	// call is one request of a caller. It shares no memory with the fasthttp request,
+	// which is reused.
 	call struct {
-		// ctx ends when the caller closes its connection.
+		// ctx is cancelled when the caller closes its connection; that of a call with
+		// an idempotency key is not cancelled.
 		ctx   context.Context
 		view  *view.View
 		route model.Route
-		// began is when the caller first tried, as far as it shows.
-		began clock.Millis
-		// timeout is the time from the arrival to deadline.
+		// firstTriedAt is the estimated instant of the caller's first try, from which
+		// the response-time goal counts.
+		firstTriedAt clock.Millis
+		// timeout is the time from the request's arrival to deadline.
 		timeout  clock.Millis
 		deadline clock.Millis
 		id       string
-		// repeated says that a request which was sent again makes the call.
-		repeated bool
-		// waits says that the call waits for the first targets of its service.
-		waits bool
-		// request is the template of the attempts.
+		// parentRepeated is set if the request on whose behalf the call is made is a
+		// repeated one.
+		parentRepeated bool
+		// waitsForTargets is set once the call waits for the first targets of its
+		// service.
+		waitsForTargets bool
+		// request is the template of the requests that the attempts send.
 		request wire.Request
 
-		// state is what the policy decides on.
+		// state is the input of the retry policy.
 		state retry.CallState
-		// tried holds the targets that were chosen so far.
+		// tried holds the targets chosen so far.
 		tried []ident.TargetID
 	}
 
-	// hedge is a second attempt beside a slow one.
+	// hedge is a second attempt that is made while a slow first one is outstanding.
 	hedge struct {
 		mu sync.Mutex
-		// closed says that the first attempt has ended, so none is started.
-		closed  bool
-		started bool
-		// stop cancels the hedge once it has started.
-		stop context.CancelFunc
-		// result gets the hedge's one outcome.
+		// firstEnded is set when the first attempt has ended; no hedge starts after
+		// that.
+		firstEnded bool
+		started    bool
+		// cancel cancels the hedge; nil until it has started.
+		cancel context.CancelFunc
+		// result receives the outcome of the hedge, once.
 		result chan *wire.Response
 	}
 )
 
-// forward makes attempts until the policy ends the call.
+// forward makes attempts until the policy ends the call or there is no target.
 func (in *Ingress) forward(c *call) *wire.Response {
-	// failure is an answer of a target that reports a failure; it is better than
-	// none if later attempts bring none.
+	// failure is the latest response that reported a failure of its target. It is
+	// returned if the later attempts bring no response.
 	var failure *wire.Response
 	c.state = retry.CallState{Route: c.route, Deadline: c.deadline}
 	now := in.Clock.Now()
 	in.mu.Lock()
-	in.Policy.RecordCall(now, c.route, c.repeated)
+	in.Policy.RecordCall(now, c.route, c.parentRepeated)
 	in.mu.Unlock()
 	for {
 		choice, ok := in.pick(c)
@@ -102,7 +108,7 @@
 		}
 		resp := in.try(c, choice)
 		d := in.decide(c, resp)
-		if resp.Verdict == result.Ran && resp.Status >= failureStatus {
+		if resp.Verdict == result.Ran && resp.Status >= minFailureStatus {
 			failure = resp
 		}
 		if d.Kind != retry.Retry && failure != nil && resp.Verdict != result.Ran {
@@ -122,8 +128,8 @@
 	}
 }
 
-// pick chooses the target of the next attempt, one that was not tried if there
-// is any.
+// pick chooses the target of the next attempt, preferably one that the call has not
+// tried.
 func (in *Ingress) pick(c *call) (route.Choice, bool) {
 	now := in.Clock.Now()
 	in.mu.Lock()
@@ -131,20 +137,20 @@
 	if !ok && len(c.tried) > 0 {
 		choice, ok = in.Picker.Pick(now, c.route.Service, nil)
 	}
-	in.drainEvents()
+	in.recordEjections()
 	in.mu.Unlock()
 	v := result.MayHaveRun
 	if !ok {
 		v = result.NotRun
 	}
-	if choice.Reason == route.ReasonNoTargets && c.waits {
-		return choice, ok // the first line tells of the wait
+	if choice.Reason == route.ReasonNoTargets && c.waitsForTargets {
+		return choice, ok // logged once, when the wait began
 	}
 	in.record(logs.Route, now, c, c.state.Sent+1, choice.Target.ID, v, choice.Reason)
 	return choice, ok
 }
 
-// decide asks the policy what follows from an attempt.
+// decide records the outcome of an attempt and returns the policy's decision.
 func (in *Ingress) decide(c *call, resp *wire.Response) retry.Decision {
 	now := in.Clock.Now()
 	c.state.End(resp.Verdict)
@@ -156,20 +162,20 @@
 	}
 	in.mu.Lock()
 	var d retry.Decision
-	if resp.Verdict == result.Ran && resp.Status >= failureStatus {
+	if resp.Verdict == result.Ran && resp.Status >= minFailureStatus {
 		d = in.Policy.AfterFailure(now, c.state)
 	} else {
 		d = in.Policy.Decide(now, c.state, resp.Verdict)
 	}
 	in.mu.Unlock()
-	looks := resp.Reason == admit.ReasonNoFreeSlot && d.Kind == retry.Retry
-	if !looks && (resp.Verdict != result.Ran || d.Kind == retry.Retry) {
+	failedFast := resp.Reason == admit.ReasonNoFreeSlot && d.Kind == retry.Retry
+	if !failedFast && (resp.Verdict != result.Ran || d.Kind == retry.Retry) {
 		in.record(logs.Retry, now, c, c.state.Sent, "", resp.Verdict, d.Reason)
 	}
 	return d
 }
 
-// try makes one attempt, with a hedge beside it if the route allows one.
+// try makes one attempt, and a hedge if the route allows one and the attempt is slow.
 func (in *Ingress) try(c *call, choice route.Choice) *wire.Response {
 	now := in.Clock.Now()
 	c.state.Start(now)
@@ -185,9 +191,9 @@
 	return in.tryHedged(ctx, cancel, c, choice, at)
 }
 
-// drainEvents writes the picker's ejections to the decision log. The caller
+// recordEjections writes the picker's new events to the decision log. The caller
 // holds mu.
-func (in *Ingress) drainEvents() {
+func (in *Ingress) recordEjections() {
 	in.events = in.Picker.Events(in.events[:0])
 	for _, e := range in.events {
 		in.Log.Record(logs.Decision{
@@ -196,8 +202,8 @@
 	}
 }
 
-// answered writes the line of what the caller gets.
-func (in *Ingress) answered(c *call, resp *wire.Response) {
+// recordAnswer writes the response to the caller to the decision log.
+func (in *Ingress) recordAnswer(c *call, resp *wire.Response) {
 	now := in.Clock.Now()
 	d := logs.Decision{
 		At: now, Kind: logs.Answer, Request: ident.RequestID(c.id), Route: c.route.Name, Service: c.route.Service,
@@ -210,15 +216,15 @@
 	in.Log.Record(d)
 }
 
-// refused writes the line of a request that could not be routed. Its path is not
-// logged, since anyone can choose it.
-func (in *Ingress) refused(ctx *fasthttp.RequestCtx, resp *wire.Response, now clock.Millis) {
+// recordRefusal writes a request that could not be routed to the decision log. Its
+// path is left out, since a caller can choose it freely.
+func (in *Ingress) recordRefusal(ctx *fasthttp.RequestCtx, resp *wire.Response, now clock.Millis) {
 	d := logs.Decision{At: now, Kind: logs.Answer, Node: in.Self, Verdict: resp.Verdict, Reason: resp.Reason}
 	if v := in.view.Load(); v != nil {
 		d.Version = v.Version()
 	}
-	if in.Dialect.Request != "" {
-		if id := ctx.Request.Header.Peek(in.Dialect.Request); len(id) <= maxCallerIDBytes {
+	if in.Dialect.RequestIDHeader != "" {
+		if id := ctx.Request.Header.Peek(in.Dialect.RequestIDHeader); len(id) <= maxCallerIDBytes {
 			d.Request = ident.RequestID(id)
 		}
 	}
--- a/io/proxy/gatecall.go
+++ b/io/proxy/gatecall.go
@@ -10,9 +10,9 @@
 	"hickoryrail/io/wire"
 )
 
-// arrive checks the call's address, records it at the fence and asks the gate
-// for a slot. It returns the target, or else the response or the kept answer to
-// a call that never gets to the gate.
+// arrive checks the target of a call, records its id for deduplication and asks the
+// gate for a slot. It returns the target, or else the response or the kept answer to
+// a call that does not reach the gate.
 func (g *Gateway) arrive(now, deadline clock.Millis, c *gateCall) (*target, *wire.Response, []byte) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -23,7 +23,7 @@
 	case r.Target != g.target.id:
 		return nil, g.refuse(now, r, result.NotRun, reasonOtherTarget), nil
 	}
-	a := g.fence.Begin(now, r.Gate, r.ID)
+	a := g.dedup.Begin(now, r.Gate, r.ID)
 	switch a.Kind {
 	case once.Refuse:
 		return nil, g.refuse(now, r, a.Verdict, a.Reason), nil
@@ -33,7 +33,7 @@
 	}
 	g.calls[r.ID] = c
 	if r.CallerID != "" {
-		g.running[r.CallerID] = c
+		g.byCallerID[r.CallerID] = c
 	}
 	call := admit.Call{ID: r.ID, Class: r.Class, Rank: r.Rank, Deadline: deadline, FailFast: r.Looks}
 	if r.HasGoal {
@@ -44,21 +44,22 @@
 		c.wake = make(chan struct{})
 		if g.gate.Next() < g.tickAt {
 			select {
-			case g.earlier <- struct{}{}:
-			default: // Run has not taken the last one yet
+			case g.reschedule <- struct{}{}:
+			default: // a signal is already pending
 			}
 		}
 	}
 	return g.target, nil, nil
 }
 
-// refuse answers a call that does not get to the gate. The caller holds mu.
+// refuse logs and returns the response to a call that does not reach the gate. The
+// caller holds mu.
 func (g *Gateway) refuse(now clock.Millis, r *wire.Request, v result.Verdict, reason string) *wire.Response {
 	g.record(now, r, v, reason)
 	return &wire.Response{Verdict: v, Reason: reason, Load: g.gate.Load()}
 }
 
-// cancel withdraws a call that may still wait.
+// cancel withdraws a call if it still waits.
 func (g *Gateway) cancel(id ident.RequestID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -66,21 +67,22 @@
 	g.apply(now, g.gate.Cancel(now, id))
 }
 
-// end frees the slot of a started call and tells the fence the outcome. It
-// returns the encoded answer if that is kept.
-func (g *Gateway) end(c *gateCall, resp *wire.Response, now, took clock.Millis, keep bool) []byte {
+// finish releases the slot of a started call and records its outcome for
+// deduplication. It returns the encoded answer if that is kept.
+func (g *Gateway) finish(c *gateCall, resp *wire.Response, now, took clock.Millis, keep bool) []byte {
 	id := c.request.ID
 	g.mu.Lock()
 	g.apply(now, g.gate.Finish(now, id, took))
 	resp.Load = g.gate.Load()
 	var kept []byte
 	if keep && resp.Verdict == result.Ran {
-		// The slot is free for others while the answer is encoded.
+		// The slot is already released and mu is not held, so encoding delays no
+		// other call.
 		g.mu.Unlock()
 		kept = encode(wire.Answer{Response: resp})
 		g.mu.Lock()
 	}
-	g.fence.Finish(now, id, resp.Verdict, kept)
+	g.dedup.Finish(now, id, resp.Verdict, kept)
 	if c.action.Kind == admit.Start {
 		g.Log.Record(logs.Decision{
 			At: now, Kind: logs.Admit, Request: id, Route: c.request.Route, Target: c.request.Target, Node: g.Self,
@@ -88,8 +90,8 @@
 		})
 	}
 	delete(g.calls, id)
-	if g.running[c.request.CallerID] == c {
-		delete(g.running, c.request.CallerID)
+	if g.byCallerID[c.request.CallerID] == c {
+		delete(g.byCallerID, c.request.CallerID)
 	}
 	if c.ended != nil {
 		close(c.ended)
@@ -102,7 +104,7 @@
 	return kept
 }
 
-// apply hands the gate's actions to the calls. The caller holds mu.
+// apply delivers the gate's actions to the calls they concern. The caller holds mu.
 func (g *Gateway) apply(now clock.Millis, actions []admit.Action) {
 	for _, a := range actions {
 		if a.Kind == admit.Drained {
--- a/io/proxy/gatetarget.go
+++ b/io/proxy/gatetarget.go
@@ -6,8 +6,8 @@
 	"hickoryrail/core/ident"
 )
 
-// Announce puts a target in service and ends the drain of an earlier one, whose
-// running calls continue. It returns ErrDraining once the node stops.
+// Announce puts a target in service and ends a drain in progress. Running calls of an
+// earlier target continue. It returns ErrDraining once the node is stopping.
 func (g *Gateway) Announce(a Announcement) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -23,14 +23,15 @@
 	}
 	g.target.client.SetMaxConns(int(a.Connections))
 	g.drained = nil
-	// The announced slots are set first, so that reopening starts nothing in them.
+	// The slots that the target reports as in use are set first, so that Reopen
+	// starts no call in them.
 	g.apply(now, g.gate.Announce(now, a.InFlight))
 	g.apply(now, g.gate.Resize(now, a.Slots, a.Connections))
 	g.apply(now, g.gate.Reopen(now))
 	return nil
 }
 
-// Renew takes the target's present number of requests in flight.
+// Renew updates the number of requests that the target reports as in flight.
 func (g *Gateway) Renew(inFlight int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -38,7 +39,7 @@
 	g.apply(now, g.gate.Renew(now, inFlight))
 }
 
-// Resize sets the limits of a new release.
+// Resize applies the limits of a new release.
 func (g *Gateway) Resize(slots ident.Slots, connections ident.Connections) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -49,9 +50,9 @@
 	g.apply(now, g.gate.Resize(now, slots, connections))
 }
 
-// Leave takes the target out of service: waiting and new calls are refused as
+// RemoveTarget takes the target out of service: waiting and new calls are refused as
 // not run, running ones continue.
-func (g *Gateway) Leave() {
+func (g *Gateway) RemoveTarget() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.beginDrain()
@@ -61,16 +62,16 @@
 	}
 }
 
-// DrainTarget refuses waiting and new calls as not run at once; running ones
-// continue. A new announcement ends it.
+// DrainTarget refuses waiting and new calls as not run; running ones continue. A new
+// announcement ends the drain.
 func (g *Gateway) DrainTarget() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.beginDrain()
 }
 
-// Drain does the same for good, because the node stops, and returns when the
-// last running call has ended, or with the error of ctx.
+// Drain is DrainTarget for a node that stops: no announcement ends it. It returns
+// when the last running call has ended, or with the error of ctx.
 func (g *Gateway) Drain(ctx context.Context) error {
 	g.mu.Lock()
 	g.stopping = true
--- a/io/proxy/gateway.go
+++ b/io/proxy/gateway.go
@@ -18,19 +18,21 @@
 )
 
 const (
-	// DefaultQueueLength bounds the calls that wait for the target.
+	// DefaultQueueLength is the default bound on the calls that wait for the target.
 	DefaultQueueLength = 16
-	// DefaultAgeingMillis is the ageing bound of the queue.
+	// DefaultAgeingMillis is the default ageing bound of the queue.
 	DefaultAgeingMillis = 100 * clock.Millis(1)
-	// ActionEvery is the gate's share for actions: an overload of checks must not
-	// keep out the orders and bookings that the checks are for.
+	// ActionEvery reserves a share of the starts for actions: an overload of checks
+	// must not starve the orders and bookings that the checks prepare.
 	ActionEvery = 4
-	// DefaultRunMillis is the expected run time before the first measured one.
+	// DefaultRunMillis is the expected run time of a call until one has been
+	// measured.
 	DefaultRunMillis = 10 * clock.Millis(1)
-	// DefaultOccupiedMillis bounds how long an announced slot is occupied; no
-	// request lasts longer than the largest route timeout.
+	// DefaultOccupiedMillis bounds how long a slot that the target announced as in
+	// use counts as occupied; no request lasts longer than the largest route timeout.
 	DefaultOccupiedMillis = 2 * clock.Minute
-	// DefaultMaxRecords is enough for 4,300 calls/s over the default KeepMillis.
+	// DefaultMaxRecords is enough for 4,300 calls/s over the default KeepMillis of
+	// once.Dedup.
 	DefaultMaxRecords = 1 << 18
 	// idleTickMillis bounds the interval between checks of the waiting calls.
 	idleTickMillis = clock.Second
@@ -40,43 +42,44 @@
 const (
 	reasonNoTarget    = "no target has announced itself"
 	reasonOtherTarget = "request is for another target"
-	// reasonEnded marks the line of a call that has left the gate.
+	// reasonEnded marks the log line of a call that has left the gate.
 	reasonEnded = "call ended at the gate"
 )
 
 type (
-	// Announcement is what a target says of itself.
+	// Announcement describes a target that announces itself at its node.
 	Announcement struct {
 		Target ident.TargetID
 		// Address is host:port of the target's HTTP server.
 		Address     string
 		Slots       ident.Slots
 		Connections ident.Connections
-		// InFlight is the number of requests that the target runs.
+		// InFlight is the number of requests that the target is running.
 		InFlight int
 	}
 
-	// Gateway is the target node's side of the data path: it admits calls to the
-	// local target and sends each admitted call once. Set the exported fields
-	// before Open.
+	// Gateway is the data path in front of the local target: it admits calls and
+	// sends each admitted call to the target once. Set the exported fields before
+	// Open.
 	Gateway struct {
 		Self ident.NodeID
-		// Incarnation is the life of the gate; calls for another one are refused.
+		// Incarnation identifies the gate between two restarts of the node; calls for
+		// another incarnation are refused.
 		Incarnation ident.Incarnation
 		Clock       clock.Clock
-		// KeepMillis is how long attempts are remembered; it must be longer than
-		// the transport can hold one. Zero means the default.
+		// KeepMillis is how long the ids of finished attempts are remembered; it must
+		// be longer than the transport can delay an attempt. Zero means the default.
 		KeepMillis clock.Millis
-		// MaxRecords bounds the remembered attempts; a full record refuses calls.
-		// Zero means the default.
+		// MaxRecords bounds the remembered ids; at the bound, calls with a new id are
+		// refused. Zero means the default.
 		MaxRecords int
-		// KeptBytes bounds the answers that are kept for callers who lost their
+		// KeptBytes bounds the answers that are kept for nodes that lost their
 		// connection; zero means the default of once.Dedup.
 		KeptBytes ident.Bytes
 		Limits    Limits
-		// Dialect is what the target speaks.
+		// Dialect defines the target's header names and response rules.
 		Dialect Dialect
-		// Order is the policy of the gate's queue.
+		// Order is the order of the gate's queue.
 		Order admit.Order
 		// QueueLength, AgeingMillis, RunMillis and OccupiedMillis configure the
 		// gate; zero means the default.
@@ -84,31 +87,32 @@
 		AgeingMillis   clock.Millis
 		RunMillis      clock.Millis
 		OccupiedMillis clock.Millis
-		// Log takes the admission decisions; nil discards them.
+		// Log receives the admission decisions; nil discards them.
 		Log logs.Sink
-		// Registry takes the metrics; nil keeps them private.
+		// Registry registers the metrics; nil leaves them unregistered.
 		Registry prometheus.Registerer
 
 		metrics gatewayMetrics
-		// earlier tells Run that a call expires before tickAt.
-		earlier chan struct{}
+		// reschedule signals Run that a call expires before tickAt.
+		reschedule chan struct{}
 
-		// mu guards what follows; no lock is held while a request runs.
+		// mu guards the fields below; it is not held while a request runs.
 		mu     sync.Mutex
 		gate   admit.Gate
 		target *target
 		// calls holds the calls that wait or run.
 		calls map[ident.RequestID]*gateCall
-		// running holds the calls at the gate by their callers' own ids.
-		running map[ident.RequestID]*gateCall
-		// fence has a record of every call that got to the gate.
-		fence once.Dedup
+		// byCallerID holds the calls at the gate by the request id that the caller
+		// set.
+		byCallerID map[ident.RequestID]*gateCall
+		// dedup records the ids of all calls that reached the gate.
+		dedup once.Dedup
 		// drained is closed when the drain in progress is complete; nil without
 		// one.
 		drained chan struct{}
 		// tickAt is the instant of the next tick.
 		tickAt clock.Millis
-		// stopping is set for good by Drain.
+		// stopping is set by Drain and never reset.
 		stopping bool
 	}
 
@@ -116,27 +120,27 @@
 	gateCall struct {
 		request *wire.Request
 		arrived clock.Millis
-		// action starts or refuses the call once decided is set; it is set once.
+		// action starts or refuses the call; it is set once, together with decided.
 		action  admit.Action
 		decided bool
 		// wake is closed when action is set; nil for a call that does not wait.
 		wake chan struct{}
-		// ended is closed when the fence has the outcome; nil unless a void waits.
+		// ended is closed when dedup has the outcome; nil unless a void waits for it.
 		ended chan struct{}
 	}
 )
 
 var (
-	// ErrDraining reports an announcement to a node that stops.
+	// ErrDraining reports an announcement to a node that is stopping.
 	ErrDraining = errors.New(reasonDraining)
-	// errOpen reports a gateway without its required fields.
-	errOpen = errors.New("gateway needs a Clock")
+	// errGatewayFields reports a gateway without its required fields.
+	errGatewayFields = errors.New("gateway needs a Clock")
 )
 
 // Open prepares the gateway and registers its metrics.
 func (g *Gateway) Open() error {
 	if g.Clock == nil {
-		return errOpen
+		return errGatewayFields
 	}
 	if g.Log == nil {
 		g.Log = logs.Discard{}
@@ -153,19 +157,19 @@
 		QueueLength: g.QueueLength, AgeingMillis: g.AgeingMillis, ActionEvery: ActionEvery,
 		RunMillis: g.RunMillis, OccupiedMillis: g.OccupiedMillis,
 	}
-	g.fence = once.Dedup{Gate: g.Incarnation, KeepMillis: g.KeepMillis, MaxRecords: g.MaxRecords, MaxBytes: g.KeptBytes}
-	g.earlier = make(chan struct{}, 1)
+	g.dedup = once.Dedup{Gate: g.Incarnation, KeepMillis: g.KeepMillis, MaxRecords: g.MaxRecords, MaxBytes: g.KeptBytes}
+	g.reschedule = make(chan struct{}, 1)
 	g.calls = make(map[ident.RequestID]*gateCall)
-	g.running = make(map[ident.RequestID]*gateCall)
+	g.byCallerID = make(map[ident.RequestID]*gateCall)
 	return g.metrics.open(g.Registry, g.Load)
 }
 
-// Runs reports whether the target beside the node runs the request that its caller
-// named id, and whether that one was sent again.
-func (g *Gateway) Runs(id ident.RequestID) (running, repeated bool) {
+// Running reports whether the local target runs the request to which its caller gave
+// id, and whether that request is a repeated one.
+func (g *Gateway) Running(id ident.RequestID) (running, repeated bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	c := g.running[id]
+	c := g.byCallerID[id]
 	return c != nil, c != nil && c.request.Repeated
 }
 
@@ -179,7 +183,7 @@
 	return g.target.address
 }
 
-// Run drops waiting calls whose deadline passes, until ctx ends.
+// Run refuses waiting calls whose deadline passes, until ctx is done.
 func (g *Gateway) Run(ctx context.Context) error {
 	t := time.NewTimer(idleTickMillis.Duration())
 	defer t.Stop()
@@ -188,7 +192,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-t.C:
-		case <-g.earlier:
+		case <-g.reschedule:
 		}
 		t.Reset(g.tick().Duration())
 	}
@@ -212,7 +216,7 @@
 }
 
 // OnCall answers one call stream of another node. Input that does not decode is
-// answered as not run, and changes nothing.
+// answered with NotRun and has no effect.
 func (g *Gateway) OnCall(ctx context.Context, _ ident.NodeID, body []byte) []byte {
 	switch c, err := wire.DecodeCall(body, g.Limits.CallBytes()); {
 	case err != nil:
@@ -228,15 +232,16 @@
 	}
 }
 
-// Forward admits a call of this node's own ingress, sends it to the target once
-// and returns the outcome. The caller must not change r any more.
+// Forward admits a call of this node's own ingress, sends it to the target once and
+// returns the outcome. The caller must not modify r afterwards.
 func (g *Gateway) Forward(ctx context.Context, r *wire.Request) *wire.Response {
 	resp, _ := g.forward(ctx, r, false)
 	return resp
 }
 
-// forward runs one call. It returns the response, or in place of it the encoded
-// answer that is kept under the same id.
+// forward runs one call. It returns the response or, in its place, the encoded answer
+// that is kept under the call's id. If keep is set, the answer of a call that ran is
+// kept.
 func (g *Gateway) forward(ctx context.Context, r *wire.Request, keep bool) (*wire.Response, []byte) {
 	now := g.Clock.Now()
 	deadline := now + r.RemainingMillis
@@ -257,7 +262,7 @@
 	}
 	if c.action.Kind == admit.Refuse {
 		resp = &wire.Response{Verdict: result.NotRun, Reason: c.action.Reason}
-		return resp, g.end(c, resp, started, 0, false)
+		return resp, g.finish(c, resp, started, 0, false)
 	}
 	resp, err := t.call(ctx, started, deadline, r)
 	if err != nil {
@@ -265,5 +270,5 @@
 	}
 	resp.Arrived = resp.Verdict != result.NotRun || resp.Reason == reasonUnexecuted
 	ended := g.Clock.Now()
-	return resp, g.end(c, resp, ended, ended-started, keep)
+	return resp, g.finish(c, resp, ended, ended-started, keep)
 }
--- a/io/proxy/headers.go
+++ b/io/proxy/headers.go
@@ -8,23 +8,25 @@
 )
 
 const (
-	// headerVerdict and headerReason tell the caller the outcome.
+	// headerVerdict and headerReason carry the outcome to the caller.
 	headerVerdict = "Hickoryrail-Verdict"
 	headerReason  = "Hickoryrail-Reason"
-	// headerRequest carries the id of the attempt to the target and the caller.
+	// headerRequest carries the id of the attempt to the target.
 	headerRequest = "Hickoryrail-Request"
-	// headerCaller names the caller for idempotency keys.
+	// headerCaller names the caller, whose idempotency keys are separate from those
+	// of others.
 	headerCaller = "Hickoryrail-Caller"
 	// headerTimeout carries the remaining time in milliseconds.
 	headerTimeout = "Request-Timeout-Millis"
-	// headerRoom is the size of most header lists in bytes.
-	headerRoom = 256
-	// headerKey is the caller's idempotency key.
-	headerKey = "Idempotency-Key"
+	// headerCapacity is the initial capacity of a copied header list; most lists fit
+	// into it.
+	headerCapacity = 256
+	// headerIdempotencyKey carries the caller's idempotency key.
+	headerIdempotencyKey = "Idempotency-Key"
 )
 
-// hopByHop holds the fields that concern one connection only (RFC 9110, 7.6.1)
-// and those that the proxy sets itself, in lower case.
+// hopByHop holds the fields that apply to one connection only (RFC 9110, 7.6.1) and
+// those that the proxy sets itself, in lower case.
 var hopByHop = map[string]bool{
 	"connection": true, "keep-alive": true, "proxy-connection": true,
 	"proxy-authenticate": true, "proxy-authorization": true, "te": true,
@@ -34,13 +36,13 @@
 	"request-timeout-millis": true,
 }
 
-// copyHeaders copies the end-to-end fields into memory of their own; connection
-// is the value of the Connection field, which names further fields to drop. Fields
-// that the dialect sets on requests are dropped as well; d is nil for answers.
+// copyHeaders copies the end-to-end fields into new memory. connection is the value
+// of the Connection field, which lists further fields to drop. Request fields that
+// the dialect sets are dropped as well; d is nil for responses.
 func copyHeaders(fields iter.Seq2[[]byte, []byte], connection []byte, d *Dialect) wire.Headers {
-	headers := make(wire.Headers, 0, headerRoom)
+	headers := make(wire.Headers, 0, headerCapacity)
 	for name, value := range fields {
-		if !isHopByHop(name) && !names(connection, name) && (d == nil || !d.sets(name)) {
+		if !isHopByHop(name) && !listContains(connection, name) && (d == nil || !d.setsHeader(name)) {
 			headers.Append(name, value)
 		}
 	}
@@ -62,8 +64,8 @@
 	return hopByHop[string(lower[:len(name)])]
 }
 
-// names reports whether a comma-separated list holds name.
-func names(list, name []byte) bool {
+// listContains reports whether a comma-separated list contains name, in any case.
+func listContains(list, name []byte) bool {
 	for len(list) > 0 {
 		var item []byte
 		item, list, _ = bytes.Cut(list, []byte{','})
--- a/io/proxy/ingress.go
+++ b/io/proxy/ingress.go
@@ -28,22 +28,22 @@
 )
 
 const (
-	// DefaultLingerMillis is how long a draining ingress waits for callers to
-	// use their open connections once more and learn that they are closing.
+	// DefaultLingerMillis is how long a draining ingress waits for callers to use
+	// their open connections once more and be told that these are closing.
 	DefaultLingerMillis = 2 * clock.Second
-	// readMillis bounds the arrival of one request, and the writing of one
-	// response.
+	// readMillis bounds the arrival of one request and the writing of one response.
 	readMillis = 30 * clock.Second
-	// idleCallerMillis is the age at which an idle caller's connection closes.
+	// idleCallerMillis is the time after which an idle caller's connection is closed.
 	idleCallerMillis = clock.Minute
-	// maxCallerIDBytes bounds the caller's id of a request in ids and logs.
+	// maxCallerIDBytes bounds the caller's request id as it appears in request ids
+	// and logs.
 	maxCallerIDBytes = 64
-	// quietMillis is the time without open connections after which a drain closes
-	// the listener. A caller whose connection was closed with its answer connects
-	// again at once, and closing the listener resets what it has not accepted.
-	quietMillis = 500 * clock.Millis(1)
-	// drainPollMillis is the interval at which a drain looks for open
-	// connections.
+	// quietPeriodMillis is the time without open connections after which a drain
+	// closes the listener. A caller whose connection was closed with its response
+	// connects again at once, and closing the listener resets connections that it has
+	// not accepted.
+	quietPeriodMillis = 500 * clock.Millis(1)
+	// drainPollMillis is the interval at which a drain checks for open connections.
 	drainPollMillis = 2 * clock.Millis(1)
 )
 
@@ -71,86 +71,90 @@
 		CallFresh(ctx context.Context, to ident.NodeID, address string, body []byte) ([]byte, error)
 	}
 
-	// Ingress is the HTTP server for callers. It routes each request by the
-	// current view, sends attempts to gates and answers with a verdict. Set the
-	// exported fields before Open.
+	// Ingress is the HTTP server for callers. It routes each request by the current
+	// view, sends attempts to gates and responds with a verdict. Set the exported
+	// fields before Open.
 	Ingress struct {
 		Self ident.NodeID
 		// Listen is host:port; port 0 chooses a free one.
 		Listen string
 		Clock  clock.Clock
 		Peers  Peers
-		// Gateway is this node's own, or nil.
+		// Gateway is this node's own gateway; nil without one.
 		Gateway *Gateway
 		// Picker and Policy are required; the ingress serializes their calls.
 		Picker *route.Picker
 		Policy *retry.Policy
-		// Limiter bounds the rate of each caller, named by its IP address; nil sets
-		// no limit. The ingress serializes its calls.
+		// Limiter bounds the request rate of each caller, identified by its IP
+		// address; nil sets no limit. The ingress serializes its calls.
 		Limiter *limit.Limiter[netip.Addr]
 		// Store holds idempotency keys. Without one, requests with a key are
 		// refused.
 		Store  plat.Store
 		Limits Limits
-		// Search, if set, lets attempts look for a free slot before they wait.
-		Search *route.FailFastPolicy
-		// Dialect is what callers and targets speak.
+		// FailFast decides which attempts are refused at once unless a slot is free
+		// now or soon; with nil, all attempts may wait at their gate.
+		FailFast *route.FailFastPolicy
+		// Dialect defines the header names and response rules of callers and targets.
 		Dialect Dialect
-		// Service is that of the target beside the node, where its requests begin.
+		// Service is the service of the target beside the node, from which its
+		// requests originate.
 		Service ident.ServiceName
 		// StoreMillis bounds the claim of an idempotency key; 0 means the default
 		// of once.Claim.
 		StoreMillis clock.Millis
-		// LingerMillis bounds how long a drain waits for idle connections.
+		// LingerMillis bounds how long a drain waits for idle connections; 0 means
+		// DefaultLingerMillis.
 		LingerMillis clock.Millis
-		// Log takes routing and retry decisions; nil discards them.
+		// Log receives the routing and retry decisions; nil discards them.
 		Log logs.Sink
-		// Registry takes the metrics; nil keeps them private.
+		// Registry registers the metrics; nil leaves them unregistered.
 		Registry prometheus.Registerer
 
 		metrics  ingressMetrics
 		server   *httpd.Server
 		listener net.Listener
 		view     atomic.Pointer[view.View]
-		// prefix and sequence make request ids unique.
-		prefix   string
+		// idPrefix and sequence make request ids unique among all nodes and restarts.
+		idPrefix string
 		sequence atomic.Uint64
 		draining atomic.Bool
-		// opened is the instant of Open.
-		opened clock.Millis
+		// openedAt is the instant of Open.
+		openedAt clock.Millis
 		// inFlight counts handlers that have not returned.
 		inFlight atomic.Int64
-		// group holds hedges and stores of outcomes, which outlive their handler.
-		group conc.WaitGroup
+		// background runs hedges and the storing of outcomes, which outlive their
+		// handlers.
+		background conc.WaitGroup
 
-		// mu guards Picker, Policy, Search, split, patience and events; it is never held
-		// while waiting.
+		// mu guards Picker, Policy, Limiter, FailFast, split, waitEstimator and
+		// events; it is never held while waiting.
 		mu    sync.Mutex
 		split route.Split
-		// patience is kept by route.
-		patience admit.WaitEstimator[ident.RouteName]
-		events   []route.Event
+		// waitEstimator estimates by route how long callers have waited before a try.
+		waitEstimator admit.WaitEstimator[ident.RouteName]
+		events        []route.Event
 	}
 )
 
-// errIngress reports an ingress without its required fields.
-var errIngress = errors.New("ingress needs Clock, Picker and Policy")
+// errIngressFields reports an ingress without its required fields.
+var errIngressFields = errors.New("ingress needs Clock, Picker and Policy")
 
 // Open binds the listener and registers the metrics.
 func (in *Ingress) Open() error {
 	if in.Clock == nil || in.Picker == nil || in.Policy == nil {
-		return errIngress
+		return errIngressFields
 	}
 	if in.Log == nil {
 		in.Log = logs.Discard{}
 	}
 	in.Limits = in.Limits.withDefaults()
 	orDefault(&in.LingerMillis, DefaultLingerMillis)
-	var life [8]byte
-	if _, err := rand.Read(life[:]); err != nil {
+	var nonce [8]byte
+	if _, err := rand.Read(nonce[:]); err != nil {
 		return err
 	}
-	in.prefix = string(in.Self) + "." + hex.EncodeToString(life[:]) + "."
+	in.idPrefix = string(in.Self) + "." + hex.EncodeToString(nonce[:]) + "."
 	if err := in.metrics.open(in.Registry); err != nil {
 		return err
 	}
@@ -159,13 +163,13 @@
 		return err
 	}
 	in.listener = lingerListener{listener}
-	in.opened = in.Clock.Now()
+	in.openedAt = in.Clock.Now()
 	in.Dialect = in.Dialect.withDefaults()
-	in.server = &httpd.Server{Handler: in.handle, Malformed: in.malformed, Bounds: in.bounds}
+	in.server = &httpd.Server{Handler: in.handle, Malformed: in.replyMalformed, Bounds: in.bounds}
 	return nil
 }
 
-// bounds returns what the view in force and the settings allow callers.
+// bounds returns the limits for callers from the current view and the settings.
 func (in *Ingress) bounds() httpd.Bounds {
 	b := httpd.Bounds{
 		HeaderBytes: in.Limits.HeaderBytes, BodyBytes: in.Limits.BodyBytes,
@@ -196,7 +200,7 @@
 	return in.listener.Addr().String()
 }
 
-// SetView puts a view in force for new requests; nodes is the number of live nodes.
+// SetView applies a view to new requests; nodes is the number of live nodes.
 func (in *Ingress) SetView(v *view.View, nodes int) {
 	in.mu.Lock()
 	if in.Policy.WindowBudget != nil {
@@ -204,9 +208,9 @@
 	}
 	in.Picker.SetView(in.Clock.Now(), v)
 	in.split.Keep(v.HasRoute)
-	in.patience.Keep(v.HasRoute)
-	if in.Search != nil {
-		in.Search.Keep(func(name ident.ServiceName) bool { _, ok := v.Service(name); return ok })
+	in.waitEstimator.Keep(v.HasRoute)
+	if in.FailFast != nil {
+		in.FailFast.Keep(func(name ident.ServiceName) bool { _, ok := v.Service(name); return ok })
 	}
 	in.mu.Unlock()
 	in.view.Store(v)
@@ -217,9 +221,9 @@
 	return in.view.Load()
 }
 
-// Run serves until ctx ends. It then accepts no more connections; those that are
-// open close after the request in flight. Drain goes before it for a stop that
-// interrupts no request.
+// Run serves until ctx is done. It then accepts no more connections and closes the
+// open ones after the request in flight. Call Drain first for a stop that interrupts
+// no request.
 func (in *Ingress) Run(ctx context.Context) error {
 	var group conc.WaitGroup
 	served := make(chan error, 1)
@@ -231,29 +235,29 @@
 	case <-ctx.Done():
 	}
 	in.draining.Store(true)
-	ended, cancel := context.WithCancel(context.Background())
+	expired, cancel := context.WithCancel(context.Background())
 	cancel()
-	err := in.server.Close(ended) // requests in flight have no time left
+	err := in.server.Close(expired) // requests in flight have no time left
 	if err != nil && !errors.Is(err, context.Canceled) {
 		return err
 	}
 	return <-served
 }
 
-// Drain answers new requests as not run and closes their connections, finishes
-// the requests in flight and then stops the server. Callers with an open
-// connection get LingerMillis to use it once more; closing it earlier could
-// cross with a request whose caller would not learn its fate.
+// Drain answers new requests as not run and closes their connections, finishes the
+// requests in flight and then stops the server. Callers with an open connection get
+// LingerMillis to use it once more: closing it earlier could coincide with a new
+// request, whose caller would get no verdict.
 func (in *Ingress) Drain(ctx context.Context) error {
 	in.draining.Store(true)
 	in.server.BeginClose()
 	t := time.NewTicker(drainPollMillis.Duration())
 	defer t.Stop()
-	linger := time.Now().Add(in.LingerMillis.Duration())
-	quiet := time.Now()
-	for in.inFlight.Load() > 0 || time.Now().Before(linger) && time.Since(quiet) < quietMillis.Duration() {
+	lingerUntil := time.Now().Add(in.LingerMillis.Duration())
+	quietSince := time.Now()
+	for in.inFlight.Load() > 0 || time.Now().Before(lingerUntil) && time.Since(quietSince) < quietPeriodMillis.Duration() {
 		if in.server.OpenConnections() > 0 {
-			quiet = time.Now()
+			quietSince = time.Now()
 		}
 		select {
 		case <-ctx.Done():
@@ -267,7 +271,7 @@
 	settled := make(chan struct{})
 	var group conc.WaitGroup
 	group.Go(func() {
-		in.group.Wait()
+		in.background.Wait()
 		close(settled)
 	})
 	select {
@@ -275,13 +279,13 @@
 		group.Wait()
 		return nil
 	case <-ctx.Done():
-		return ctx.Err() // outcomes that are not stored yet leave their claims
+		return ctx.Err() // the claims of outcomes that are not stored yet remain
 	}
 }
 
-// handle answers one request. Everything that attempts need is copied out of
-// ctx, because fasthttp reuses its memory once handle returns.
-func (in *Ingress) handle(caller context.Context, ctx *fasthttp.RequestCtx) {
+// handle serves one request. Everything that attempts need is copied out of ctx,
+// because fasthttp reuses its memory once handle returns.
+func (in *Ingress) handle(callerCtx context.Context, ctx *fasthttp.RequestCtx) {
 	in.inFlight.Add(1)
 	defer in.inFlight.Add(-1)
 	now := in.Clock.Now()
@@ -289,33 +293,33 @@
 		in.reply(ctx, notRun(reasonDraining), now)
 		return
 	}
-	if !in.allowed(ctx, now) {
+	if !in.withinRate(ctx, now) {
 		in.reply(ctx, notRun(reasonRate), now)
 		return
 	}
-	c, refusal := in.newCall(caller, ctx, now)
+	c, refusal := in.newCall(callerCtx, ctx, now)
 	if refusal != nil {
-		in.refused(ctx, refusal, now)
+		in.recordRefusal(ctx, refusal, now)
 		in.reply(ctx, refusal, now)
 		return
 	}
-	key := ctx.Request.Header.Peek(headerKey)
+	key := ctx.Request.Header.Peek(headerIdempotencyKey)
 	if c.route.Idempotent || len(key) == 0 {
 		resp := in.forward(c)
-		in.answered(c, resp)
+		in.recordAnswer(c, resp)
 		in.reply(ctx, resp, now)
 		return
 	}
-	c.ctx = context.WithoutCancel(caller) // the outcome of a key is stored for whoever asks next
-	in.reply(ctx, in.keyed(c, string(ctx.Request.Header.Peek(headerCaller)), string(key)), now)
+	c.ctx = context.WithoutCancel(callerCtx) // the outcome is stored under its key even if the caller is gone
+	in.reply(ctx, in.forwardKeyed(c, string(ctx.Request.Header.Peek(headerCaller)), string(key)), now)
 }
 
-// allowed reports whether the caller is within its rate.
-func (in *Ingress) allowed(ctx *fasthttp.RequestCtx, now clock.Millis) bool {
+// withinRate reports whether the caller is within its rate limit.
+func (in *Ingress) withinRate(ctx *fasthttp.RequestCtx, now clock.Millis) bool {
 	if in.Limiter == nil {
 		return true
 	}
-	caller := callerOf(ctx)
+	caller := callerIP(ctx)
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	return in.Limiter.Allow(now, caller)
--- a/io/proxy/ingressmetrics.go
+++ b/io/proxy/ingressmetrics.go
@@ -7,7 +7,7 @@
 	"hickoryrail/io/stats"
 )
 
-// ingressMetrics counts what the ingress decides.
+// ingressMetrics holds the metrics of the ingress.
 type ingressMetrics struct {
 	verdicts [verdictCount]prometheus.Counter
 	attempts prometheus.Counter
@@ -18,7 +18,7 @@
 	delay    prometheus.Histogram
 }
 
-// open creates the collectors and registers them.
+// open creates the collectors and registers them with r.
 func (m *ingressMetrics) open(r prometheus.Registerer) error {
 	verdicts := stats.Counters("ingress_requests_total", "Requests of callers that were answered.", "verdict")
 	for i := range verdictCount {
--- a/io/proxy/keyed.go
+++ b/io/proxy/keyed.go
@@ -16,28 +16,29 @@
 const (
 	// maxKeyBytes bounds an idempotency key.
 	maxKeyBytes = 255
-	// maxRowBody is the largest body that is stored in the key's row; a larger
-	// one is stored as an object.
+	// maxRowBody is the size of the largest body that is stored in the key's row; a
+	// larger one is stored as an object.
 	maxRowBody = 64 << 10
-	// storeCallMillis bounds a store call after the claim.
+	// storeCallMillis bounds a store call; during the claim, the claim's deadline
+	// bounds it too.
 	storeCallMillis = 2 * clock.Second
 )
 
 // keyClaim is the claim of one idempotency key at the store.
 type keyClaim struct {
-	in    *Ingress
-	row   string
-	claim once.Claim
+	in     *Ingress
+	rowKey string
+	claim  once.Claim
 }
 
-// keyed forwards a call with an idempotency key if its claim succeeds, and
-// otherwise answers with the stored outcome or a refusal. The outcome is stored
-// after the caller has its answer.
-func (in *Ingress) keyed(c *call, caller, key string) *wire.Response {
+// forwardKeyed forwards a call with an idempotency key if its claim succeeds, and
+// otherwise responds with the stored outcome or a refusal. The outcome of a forwarded
+// call is stored in the background, after the caller has its response.
+func (in *Ingress) forwardKeyed(c *call, caller, key string) *wire.Response {
 	if in.Store == nil {
 		return notRun(reasonNoStore)
 	}
-	k := &keyClaim{in: in, row: once.RowKey(c.route.Service, ident.CallerID(caller), key)}
+	k := &keyClaim{in: in, rowKey: once.RowKey(c.route.Service, ident.CallerID(caller), key)}
 	k.claim = once.Claim{
 		ID: ident.RequestID(c.id), StoreMillis: in.StoreMillis,
 		Fingerprint: once.Fingerprint(c.request.Method, c.request.URI, c.request.Body),
@@ -45,18 +46,18 @@
 	now := in.Clock.Now()
 	decided := k.run(k.claim.Begin(now))
 	for len(decided) == 0 {
-		// The claim waits for its deadline only.
+		// Without an action, the claim waits for its deadline only.
 		time.Sleep((k.claim.Next() - in.Clock.Now()).Duration())
 		decided = k.run(k.claim.Tick(in.Clock.Now()))
 	}
 	resp := k.answer(c, decided[0])
 	if !k.claim.Done() || len(decided) > 1 {
-		in.group.Go(func() { k.settle(c, decided, resp) })
+		in.background.Go(func() { k.settle(c, decided, resp) })
 	}
 	return resp
 }
 
-// answer returns the response to the caller that follows from the claim.
+// answer returns the response to the caller that the claim's action a asks for.
 func (k *keyClaim) answer(c *call, a once.Action) *wire.Response {
 	switch a.Kind {
 	case once.Forward:
@@ -67,21 +68,21 @@
 	return &wire.Response{Verdict: a.Verdict, Reason: a.Reason}
 }
 
-// run carries out store actions until one for the caller comes up or none is
-// left. It returns the actions for the caller.
+// run carries out store actions until an action for the caller comes up or none is
+// left. It returns the remaining actions.
 func (k *keyClaim) run(actions []once.Action) []once.Action {
 	for len(actions) > 0 {
 		a := actions[0]
 		if a.Kind != once.ReadRow && a.Kind != once.WriteRow {
 			return actions
 		}
-		actions = append(k.step(a), actions[1:]...)
+		actions = append(k.callStore(a), actions[1:]...)
 	}
 	return nil
 }
 
-// step makes one store call.
-func (k *keyClaim) step(a once.Action) []once.Action {
+// callStore makes one store call and returns the actions that follow from its result.
+func (k *keyClaim) callStore(a once.Action) []once.Action {
 	limit := storeCallMillis
 	if next := k.claim.Next(); next < clock.Forever {
 		limit = min(limit, max(next-k.in.Clock.Now(), 0))
@@ -89,14 +90,14 @@
 	ctx, cancel := context.WithTimeout(context.Background(), limit.Duration())
 	defer cancel()
 	if a.Kind == once.ReadRow {
-		row, err := k.in.Store.ReadRow(ctx, k.row)
+		row, err := k.in.Store.ReadRow(ctx, k.rowKey)
 		return k.claim.RowRead(k.in.Clock.Now(), row.Value, row.Revision, err == nil)
 	}
-	row, err := k.in.Store.WriteRow(ctx, k.row, a.Value, a.Condition)
+	row, err := k.in.Store.WriteRow(ctx, k.rowKey, a.Value, a.Condition)
 	return k.claim.RowWritten(k.in.Clock.Now(), writeResult(err), row.Revision)
 }
 
-// writeResult returns the outcome of a conditional write.
+// writeResult returns the result of a conditional write that ended with err.
 func writeResult(err error) once.WriteResult {
 	switch {
 	case err == nil:
@@ -109,8 +110,8 @@
 	return once.Unknown
 }
 
-// settle stores the outcome of a forwarded call, or releases a claim that was
-// refused.
+// settle stores the outcome of a forwarded call, or releases the claim of one that
+// was refused.
 func (k *keyClaim) settle(c *call, decided []once.Action, resp *wire.Response) {
 	actions := decided[1:]
 	if decided[0].Kind == once.Forward {
@@ -127,8 +128,9 @@
 	}
 }
 
-// outcome returns what is to be stored. A body that cannot be stored leaves the
-// claim without an outcome, so that a resubmission is refused and not run.
+// outcome returns the verdict and the outcome to store. A response whose body cannot
+// be stored leaves the claim without an outcome, so that a resubmission is refused
+// and not run.
 func (k *keyClaim) outcome(c *call, resp *wire.Response) (result.Verdict, once.Outcome) {
 	if resp.Verdict != result.Ran {
 		return resp.Verdict, once.Outcome{}
@@ -140,7 +142,7 @@
 	if len(resp.Body) <= maxRowBody {
 		return resp.Verdict, o
 	}
-	o.Body, o.Object = nil, k.row+"/"+c.id
+	o.Body, o.Object = nil, k.rowKey+"/"+c.id
 	ctx, cancel := context.WithTimeout(context.Background(), storeCallMillis.Duration())
 	defer cancel()
 	if err := k.in.Store.PutObject(ctx, o.Object, resp.Body); err != nil {
@@ -149,7 +151,7 @@
 	return resp.Verdict, o
 }
 
-// replay returns a stored outcome.
+// replay returns the response of a stored outcome.
 func (k *keyClaim) replay(c *call, o once.Outcome) *wire.Response {
 	resp := &wire.Response{Verdict: result.Ran, Reason: once.ReasonKept, Status: o.Status, Body: o.Body}
 	for _, h := range o.Headers {
--- a/io/proxy/limits.go
+++ b/io/proxy/limits.go
@@ -23,13 +23,13 @@
 	reasonMalformed = "message is malformed"
 )
 
-// Limits bounds requests and responses. A zero field takes its default.
+// Limits bounds requests and responses. A field that is zero has its default.
 type Limits struct {
 	BodyBytes   ident.Bytes
 	HeaderBytes ident.Bytes
 }
 
-// withDefaults returns l with its zero fields set.
+// withDefaults returns l with the defaults of its zero fields.
 func (l Limits) withDefaults() Limits {
 	orDefault(&l.BodyBytes, DefaultBodyBytes)
 	orDefault(&l.HeaderBytes, DefaultHeaderBytes)
@@ -42,7 +42,7 @@
 	return int(l.BodyBytes) + int(l.HeaderBytes) + wire.CallOverheadBytes
 }
 
-// orDefault sets v if it is not positive.
+// orDefault sets v to d if it is not positive.
 func orDefault[T int | ident.Bytes | clock.Millis](v *T, d T) {
 	if *v <= 0 {
 		*v = d
--- a/io/proxy/linger.go
+++ b/io/proxy/linger.go
@@ -10,14 +10,15 @@
 )
 
 const (
-	// lingerMillis bounds how long the rest of a refused request is read.
+	// lingerMillis bounds how long the rest of a refused request is read before its
+	// connection is closed.
 	lingerMillis = 200 * clock.Millis(1)
-	// lingerBytes bounds how much of it is read.
+	// lingerBytes bounds how much of the rest is read.
 	lingerBytes = 8 << 20
 )
 
 type (
-	// lingerListener returns connections that can close without a reset.
+	// lingerListener accepts connections that can be closed without a reset.
 	lingerListener struct {
 		net.Listener
 	}
@@ -25,7 +26,8 @@
 	// lingerConn is a caller's connection.
 	lingerConn struct {
 		*net.TCPConn
-		// linger is taken by the first Close; a stop can close as well.
+		// linger makes Close read the rest of the request. Close is also called when
+		// the server stops; the first call resets the flag.
 		linger atomic.Bool
 	}
 )
@@ -43,15 +45,17 @@
 	return &lingerConn{TCPConn: tcp}, nil
 }
 
-// linger makes the later Close of c wait until the caller has read the answer.
+// linger makes Close of c read the rest of the request first, so that the caller gets
+// the response.
 func linger(c net.Conn) {
 	if l, ok := c.(*lingerConn); ok {
 		l.linger.Store(true)
 	}
 }
 
-// Close closes the connection. After a refusal, the rest of the request is read
-// first: closing with unread bytes sends a reset, which can overtake the answer.
+// Close closes the connection. After linger it first reads the rest of the request:
+// closing a connection with unread bytes sends a reset, which can overtake the
+// response.
 func (c *lingerConn) Close() error {
 	if c.linger.Swap(false) {
 		_ = c.CloseWrite()
--- a/io/proxy/metrics.go
+++ b/io/proxy/metrics.go
@@ -10,18 +10,19 @@
 )
 
 const (
-	// classCount and verdictCount are the sizes of the metrics' fixed labels.
+	// classCount and verdictCount are the numbers of values of the labels class and
+	// verdict.
 	classCount   = int(model.Browse) + 1
 	verdictCount = int(result.Ran) + 1
 )
 
-// delayBuckets are upper bounds in seconds, from well below to well above a
-// target's usual run time of a few milliseconds.
+// delayBuckets are upper bounds in seconds, from well below to well above a target's
+// usual run time of a few milliseconds.
 var delayBuckets = prometheus.ExponentialBuckets(0.0005, 2, 16)
 
 type (
-	// gatewayMetrics counts what the gateway decides. The counters of fixed
-	// labels are looked up once.
+	// gatewayMetrics holds the metrics of the gateway. The counters of all label
+	// values are looked up once, in open.
 	gatewayMetrics struct {
 		started  [classCount]prometheus.Counter
 		refused  [classCount]prometheus.Counter
@@ -31,7 +32,7 @@
 	}
 )
 
-// open creates the collectors and registers them.
+// open creates the collectors and registers them with r.
 func (m *gatewayMetrics) open(r prometheus.Registerer, load func() admit.Load) error {
 	decisions := stats.Counters("gateway_decisions_total", "Decisions of the admission gate.", "decision", "class")
 	for i := range classCount {
--- a/io/proxy/path_test.go
+++ b/io/proxy/path_test.go
@@ -31,8 +31,8 @@
 		addresses map[ident.NodeID]string
 	}
 
-	// table is a table service in memory; down makes its calls fail.
-	table struct {
+	// memoryStore keeps rows in memory; its calls fail while down is set.
+	memoryStore struct {
 		plat.Store
 		mu   sync.Mutex
 		rows map[string]plat.Row
@@ -48,7 +48,7 @@
 	return q.Transport.CallFresh(ctx, to, q.addresses[to], body)
 }
 
-func (s *table) ReadRow(_ context.Context, key string) (plat.Row, error) {
+func (s *memoryStore) ReadRow(_ context.Context, key string) (plat.Row, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down.Load() {
@@ -57,7 +57,7 @@
 	return s.rows[key], nil
 }
 
-func (s *table) WriteRow(_ context.Context, key string, value []byte, revision ident.Revision) (plat.Row, error) {
+func (s *memoryStore) WriteRow(_ context.Context, key string, value []byte, revision ident.Revision) (plat.Row, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
@@ -70,8 +70,8 @@
 	return s.rows[key], nil
 }
 
-// newQUIC starts a transport per node and returns that of the ingress.
-func newQUIC(t *testing.T, f *fleet) *quicPeers {
+// newQUICPeers starts a QUIC transport for each node and returns that of the ingress.
+func newQUICPeers(t *testing.T, f *fleet) *quicPeers {
 	directory := t.TempDir() + "/keys"
 	nodes := []ident.NodeID{"ingress"}
 	for node := range f.gateways {
@@ -107,15 +107,15 @@
 	return q
 }
 
-// TestAnswersNeverCross guards against a caller that gets another caller's
-// answer or a part of its own, while answers are late, cut by their deadline or
-// given up by their callers.
+// TestAnswersNeverCross guards against a caller that gets another caller's response
+// or only a part of its own while other responses are late, cut off by their deadline
+// or abandoned by their callers.
 func TestAnswersNeverCross(t *testing.T) {
 	is := is.New(t)
-	targets := []*standIn{newStandIn(t), newStandIn(t)}
+	targets := []*fakeTarget{newFakeTarget(t), newFakeTarget(t)}
 	f := newFleet(t, 24, targets...)
 	in := newIngress(t, f)
-	in.Peers = newQUIC(t, f)
+	in.Peers = newQUICPeers(t, f)
 	const workers, rounds = 24, 40
 	var answered, refused, gaveUp atomic.Int64
 	var group sync.WaitGroup
@@ -157,8 +157,8 @@
 	is.True(gaveUp.Load() > 0)
 }
 
-// scribble overwrites what fasthttp reuses for the next request.
-func scribble(fields iter.Seq2[[]byte, []byte], parts ...[]byte) {
+// overwrite overwrites memory that fasthttp reuses for the next request.
+func overwrite(fields iter.Seq2[[]byte, []byte], parts ...[]byte) {
 	for name, value := range fields {
 		parts = append(parts, name, value)
 	}
@@ -169,11 +169,11 @@
 	}
 }
 
-// TestCallsOwnTheirMemory guards against a call that keeps memory of a handler
-// that has returned, and an answer that keeps memory of the pooled client.
+// TestCallsOwnTheirMemory guards against a call that refers to memory of a handler
+// that has returned, and a response that refers to memory of the pooled client.
 func TestCallsOwnTheirMemory(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(t, 4, newStandIn(t))
+	f := newFleet(t, 4, newFakeTarget(t))
 	in := newIngress(t, f)
 	var request fasthttp.Request
 	request.SetRequestURI("/check/echo?q=1")
@@ -186,7 +186,7 @@
 	is.True(refusal == nil)
 	before := encode(c.request)
 	h := &ctx.Request.Header
-	scribble(h.All(), ctx.Request.Body(), h.RequestURI(), h.Method())
+	overwrite(h.All(), ctx.Request.Body(), h.RequestURI(), h.Method())
 	is.True(bytes.Equal(before, encode(c.request)))
 
 	g := f.gateways["node-0"]
@@ -194,7 +194,7 @@
 	for i := range 50 {
 		r := c.request
 		body := fmt.Sprint("answer ", i)
-		r.ID, r.Gate, r.Target, r.Body, r.RemainingMillis = ident.RequestID(body), gateLife, "target-0", []byte(body), 20000
+		r.ID, r.Gate, r.Target, r.Body, r.RemainingMillis = ident.RequestID(body), gateIncarnation, "target-0", []byte(body), 20000
 		answers[body] = g.Forward(context.Background(), &r)
 	}
 	for body, resp := range answers {
@@ -202,19 +202,19 @@
 	}
 }
 
-// TestKeyedRequestRunsOnce guards against running a resubmitted action again,
-// and against running one whose key could not be claimed.
+// TestKeyedRequestRunsOnce guards against running a resubmitted action again, and
+// against running one whose key could not be claimed.
 func TestKeyedRequestRunsOnce(t *testing.T) {
 	is := is.New(t)
-	target := newStandIn(t)
+	target := newFakeTarget(t)
 	f := newFleet(t, 4, target)
-	store := &table{rows: make(map[string]plat.Row)}
+	store := &memoryStore{rows: make(map[string]plat.Row)}
 	first, second := newIngress(t, f), newIngress(t, f)
 	first.Store, second.Store = store, store
 	order := func(in *Ingress, path, body, key string) (int, string, string) {
-		resp, got, err := send(http.DefaultClient, in, path, body, headerKey, key, headerCaller, "shop-1")
+		resp, got, err := send(http.DefaultClient, in, path, body, headerIdempotencyKey, key, headerCaller, "shop-1")
 		is.NoErr(err)
-		in.group.Wait() // the outcome is stored
+		in.background.Wait() // the outcome is stored
 		return resp.StatusCode, got, resp.Header.Get(headerVerdict)
 	}
 	status, got, _ := order(first, "/order/echo", "pallet", "k1")
@@ -222,20 +222,20 @@
 	status, again, _ := order(second, "/order/echo", "pallet", "k1")
 	is.Equal(status, 200)
 	is.Equal(again, got)
-	is.Equal(target.runsOf("pallet"), 1)
+	is.Equal(target.runCount("pallet"), 1)
 
-	status, _, _ = order(first, "/order/die", "lost", "k2")
+	status, _, _ = order(first, "/order/abort", "lost", "k2")
 	is.Equal(status, 502)
-	status, _, verdict := order(second, "/order/die", "lost", "k2")
+	status, _, verdict := order(second, "/order/abort", "lost", "k2")
 	is.Equal(status, 409)
 	is.Equal(verdict, "MayHaveRun")
-	is.Equal(target.runsOf("lost"), 1)
+	is.Equal(target.runCount("lost"), 1)
 
 	store.down.Store(true)
 	status, _, verdict = order(first, "/order/echo", "no store", "k3")
 	is.Equal(status, 503)
 	is.Equal(verdict, "NotRun")
-	is.Equal(target.runsOf("no store"), 0)
+	is.Equal(target.runCount("no store"), 0)
 	store.down.Store(false)
 	f.gateways["node-0"].DrainTarget()
 	_, _, verdict = order(first, "/order/echo", "released", "k4")
@@ -245,23 +245,23 @@
 	is.Equal(status, 200) // a claim that ended as not run can be claimed again
 }
 
-// TestKeyOfAnotherRequest guards against an outcome replayed for a request that
-// it does not belong to, and against forwarding such a request.
+// TestKeyOfAnotherRequest guards against replaying the outcome of one request for
+// another one that reuses its idempotency key, and against forwarding the latter.
 func TestKeyOfAnotherRequest(t *testing.T) {
 	is := is.New(t)
-	target := newStandIn(t)
+	target := newFakeTarget(t)
 	f := newFleet(t, 4, target)
-	store := &table{rows: make(map[string]plat.Row)}
+	store := &memoryStore{rows: make(map[string]plat.Row)}
 	first, second := newIngress(t, f), newIngress(t, f)
 	first.Store, second.Store = store, store
 	order := func(in *Ingress, method, path, body string) (int, string) {
 		req, err := http.NewRequest(method, "http://"+in.Address()+path, strings.NewReader(body))
 		is.NoErr(err)
-		req.Header.Set(headerKey, "k1")
+		req.Header.Set(headerIdempotencyKey, "k1")
 		resp, err := http.DefaultClient.Do(req)
 		is.NoErr(err)
 		is.NoErr(resp.Body.Close())
-		in.group.Wait() // the outcome is stored
+		in.background.Wait() // the outcome is stored
 		return resp.StatusCode, resp.Header.Get(headerVerdict)
 	}
 	status, _ := order(first, http.MethodPost, "/order/echo", "pallet")
@@ -275,28 +275,29 @@
 		is.Equal(status, 422)
 		is.Equal(verdict, "NotRun")
 	}
-	is.Equal(target.runsOf("pallet"), 1)
-	is.Equal(target.runsOf("another"), 0)
+	is.Equal(target.runCount("pallet"), 1)
+	is.Equal(target.runCount("another"), 0)
 	status, verdict := order(second, http.MethodPost, "/order/echo", "pallet")
-	is.Equal(status, 200) // the refusals left the stored outcome
+	is.Equal(status, 200) // the refusals did not change the stored outcome
 	is.Equal(verdict, "Ran")
 }
 
-// TestHedgeAnswersFirst guards against a hedge that is not sent, that is sent to
-// the same target, or whose loser holds its slot.
+// TestHedgeAnswersFirst guards against a hedge that is not sent or goes to the same
+// target, and against a losing attempt that keeps its slot.
 func TestHedgeAnswersFirst(t *testing.T) {
 	is := is.New(t)
-	targets := []*standIn{newStandIn(t), newStandIn(t)}
+	targets := []*fakeTarget{newFakeTarget(t), newFakeTarget(t)}
 	f := newFleet(t, 1, targets...)
 	in := newIngress(t, f)
 	in.Policy.Budget.RecordCall(in.Clock.Now())
 	var calls atomic.Int64
-	f.fault = func(ctx context.Context, g *Gateway, body []byte) ([]byte, error) {
+	f.intercept = func(ctx context.Context, g *Gateway, body []byte) ([]byte, error) {
 		if calls.Add(1) == 1 {
 			body = bytes.Replace(body, []byte("/check/echo"), []byte("/check/hold"), 1)
 		}
-		// The hedge waits until the held attempt runs, which its answer cancels.
-		for calls.Load() > 1 && ctx.Err() == nil && targets[0].runsOf("hedged")+targets[1].runsOf("hedged") == 0 {
+		// The attempt that is delivered second waits until the held one is running,
+		// so that its response cancels a running attempt.
+		for calls.Load() > 1 && ctx.Err() == nil && targets[0].runCount("hedged")+targets[1].runCount("hedged") == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		return g.OnCall(ctx, "ingress", body), nil
@@ -309,13 +310,12 @@
 	resp := in.forward(r)
 	is.Equal(resp.Verdict, result.Ran)
 	is.Equal(string(resp.Body), "hedged")
-	is.Equal(targets[0].runsOf("hedged")+targets[1].runsOf("hedged"), 2)
-	is.Equal(targets[0].runsOf("hedged"), 1)
-	// A hedge outlives the call if the first attempt answers, which happens when the
-	// hedge is sent before it.
-	in.group.Wait()
+	is.Equal(targets[0].runCount("hedged")+targets[1].runCount("hedged"), 2)
+	is.Equal(targets[0].runCount("hedged"), 1)
+	// If the hedge is delivered first, it is the held attempt, and it outlives the call.
+	in.background.Wait()
 	for _, g := range f.gateways {
-		is.Equal(g.Load().Free, 1) // the cancelled attempt has ended
+		is.Equal(g.Load().Free, 1) // the cancelled attempt has released its slot
 	}
 	r.tried = []ident.TargetID{"target-0", "target-1"}
 	r.state.Outstanding, r.state.Sent = 1, 1
--- a/io/proxy/proxy_test.go
+++ b/io/proxy/proxy_test.go
@@ -29,36 +29,37 @@
 	"hickoryrail/io/wire"
 )
 
-// gateLife is the incarnation of every gate in these tests.
-const gateLife ident.Incarnation = 7
+// gateIncarnation is the incarnation of every gate in these tests.
+const gateIncarnation ident.Incarnation = 7
 
 type (
-	// fleet is a set of nodes that call each other's gateways in memory.
+	// fleet is a set of gateways whose calls are delivered in memory.
 	fleet struct {
 		gateways map[ident.NodeID]*Gateway
 		view     *view.View
-		// fault, if set, replaces a call before it is delivered.
-		fault func(ctx context.Context, g *Gateway, body []byte) ([]byte, error)
+		// intercept, if set, replaces the delivery of a call.
+		intercept func(ctx context.Context, g *Gateway, body []byte) ([]byte, error)
 	}
 
-	// standIn is an HTTP target whose behaviour is given in the request's path.
-	standIn struct {
+	// fakeTarget is an HTTP target whose behaviour is chosen by the request's path.
+	fakeTarget struct {
 		*http.Server
 		address string
-		// mu guards runs, the handled requests by body, and peak, the maximum of
-		// open.
-		mu   sync.Mutex
-		runs map[string]int
-		peak int64
+		// mu guards runs, the number of handled requests by body, and maxOpen, the
+		// maximum of open.
+		mu      sync.Mutex
+		runs    map[string]int
+		maxOpen int64
 		// open counts handlers that have not returned.
-		open    atomic.Int64
+		open atomic.Int64
+		// release lets the requests to /hold finish once it is closed.
 		release chan struct{}
 	}
 )
 
 func (f *fleet) Call(ctx context.Context, to ident.NodeID, _ string, body []byte) ([]byte, error) {
-	if f.fault != nil {
-		return f.fault(ctx, f.gateways[to], body)
+	if f.intercept != nil {
+		return f.intercept(ctx, f.gateways[to], body)
 	}
 	return f.gateways[to].OnCall(ctx, "ingress", bytes.Clone(body)), nil
 }
@@ -67,33 +68,34 @@
 	return f.gateways[to].OnCall(ctx, "ingress", bytes.Clone(body)), nil
 }
 
-// runsOf returns how often a body reached the target.
-func (s *standIn) runsOf(body string) int {
+// runCount returns the number of requests with a body that reached the target.
+func (s *fakeTarget) runCount(body string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[body]
 }
 
-// newStandIn starts a target. Paths: /.../echo answers with the body, /hold waits
-// for release, /slow?ms= pauses in the middle of the answer, /die closes the
-// connection in the middle of the answer, /identity answers without a length.
-func newStandIn(t *testing.T) *standIn {
+// newFakeTarget starts a target. The last element of a path selects its behaviour:
+// echo returns the body, hold waits for release first, slow?ms= pauses in the middle
+// of the response, abort closes the connection in the middle of the response, and
+// identity sends a response without a length.
+func newFakeTarget(t *testing.T) *fakeTarget {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &standIn{address: l.Addr().String(), runs: make(map[string]int), release: make(chan struct{})}
+	s := &fakeTarget{address: l.Addr().String(), runs: make(map[string]int), release: make(chan struct{})}
 	s.Server = &http.Server{Handler: http.HandlerFunc(s.handle)}
 	go func() { _ = s.Serve(l) }()
 	t.Cleanup(func() { _ = s.Close() })
 	return s
 }
 
-func (s *standIn) handle(w http.ResponseWriter, r *http.Request) {
+func (s *fakeTarget) handle(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	s.mu.Lock()
 	s.runs[string(body)]++
-	s.peak = max(s.peak, s.open.Add(1))
+	s.maxOpen = max(s.maxOpen, s.open.Add(1))
 	s.mu.Unlock()
 	defer s.open.Add(-1)
 	w.Header().Set("X-Host", r.Host)
@@ -117,7 +119,7 @@
 		ms, _ := strconv.Atoi(r.URL.Query().Get("ms"))
 		time.Sleep(time.Duration(ms) * time.Millisecond)
 		_, _ = w.Write(body[len(body)/2:])
-	case strings.HasSuffix(r.URL.Path, "/die"):
+	case strings.HasSuffix(r.URL.Path, "/abort"):
 		c, b, _ := w.(http.Hijacker).Hijack()
 		_, _ = b.WriteString("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
 		_ = b.Flush()
@@ -132,8 +134,8 @@
 	}
 }
 
-// configuration has one service with an idempotent route /check, and the routes
-// /order and /browse.
+// configuration returns one service with the idempotent routes /check and /browse and
+// the route /order.
 func configuration(slots int) model.Configuration {
 	r := func(name string, class model.Class, idempotent bool) model.Route {
 		return model.Route{
@@ -150,14 +152,14 @@
 }
 
 // newFleet starts one gateway per target.
-func newFleet(t *testing.T, slots int, targets ...*standIn) *fleet {
+func newFleet(t *testing.T, slots int, targets ...*fakeTarget) *fleet {
 	f := &fleet{gateways: make(map[ident.NodeID]*Gateway)}
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
 	var records []member.Record
 	for i, s := range targets {
 		node := ident.NodeID(fmt.Sprint("node-", i))
-		g := &Gateway{Self: node, Incarnation: gateLife, Clock: clock.NewSystem(), QueueLength: 512, Limits: Limits{BodyBytes: 64 << 10}}
+		g := &Gateway{Self: node, Incarnation: gateIncarnation, Clock: clock.NewSystem(), QueueLength: 512, Limits: Limits{BodyBytes: 64 << 10}}
 		if err := g.Open(); err != nil {
 			t.Fatal(err)
 		}
@@ -169,7 +171,7 @@
 		f.gateways[node] = g
 		records = append(records, member.Record{
 			Node: node, Service: "shop", Target: id, TargetState: member.Ready,
-			GateIncarnation: gateLife, FailureDomain: "a", Region: "r", PeerAddress: "peer",
+			GateIncarnation: gateIncarnation, FailureDomain: "a", Region: "r", PeerAddress: "peer",
 		})
 	}
 	release, err := model.NewRelease(1, "edit", configuration(slots))
@@ -206,7 +208,7 @@
 	return in
 }
 
-// send makes one request with a body and returns the response and its body.
+// send makes a POST request with a body and returns the response and its body.
 func send(c *http.Client, in *Ingress, path, body string, headers ...string) (*http.Response, string, error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+in.Address()+path, strings.NewReader(body))
 	if err != nil {
@@ -224,11 +226,11 @@
 	return resp, string(got), err
 }
 
-// TestRequestReachesTarget guards against a broken path, lost headers and
-// forwarded hop-by-hop fields.
+// TestRequestReachesTarget guards against a request that does not reach its target,
+// lost header fields and forwarded hop-by-hop fields.
 func TestRequestReachesTarget(t *testing.T) {
 	is := is.New(t)
-	in := newIngress(t, newFleet(t, 4, newStandIn(t)))
+	in := newIngress(t, newFleet(t, 4, newFakeTarget(t)))
 	resp, body, err := send(http.DefaultClient, in, "/check/echo?a=b", "hello",
 		"X-Unique", "one", "Connection", "X-Drop", "X-Drop", "leak", "Te", "trailers", "Keep-Alive", "leak")
 	is.NoErr(err)
@@ -238,7 +240,7 @@
 	is.Equal(resp.Header.Get("X-Hop"), "")
 	is.Equal(resp.Header.Get(headerVerdict), "Ran")
 	is.Equal(resp.Header.Get("X-Host"), in.Address())
-	for range 2 { // the connection to the target is used again
+	for range 2 { // the connection to the target is reused
 		resp, err = http.Head("http://" + in.Address() + "/check/echo")
 		is.NoErr(err)
 		_ = resp.Body.Close()
@@ -254,15 +256,15 @@
 	is.Equal(resp.StatusCode, 400) // two routes match, by raw and by normalized path
 }
 
-// TestLostConnectionIsVoided guards against running an action twice after its
-// connection was lost, before or after its request arrived.
+// TestLostConnectionIsVoided guards against running an action twice when the
+// connection is lost before or after the request has arrived.
 func TestLostConnectionIsVoided(t *testing.T) {
 	is := is.New(t)
-	target := newStandIn(t)
+	target := newFakeTarget(t)
 	f := newFleet(t, 4, target)
 	lost := result.NewError(result.MayHaveRun, "connection lost", nil)
 	first := true
-	f.fault = func(ctx context.Context, g *Gateway, body []byte) ([]byte, error) {
+	f.intercept = func(ctx context.Context, g *Gateway, body []byte) ([]byte, error) {
 		if first {
 			first = false
 			return nil, lost
@@ -273,9 +275,9 @@
 	resp, _, err := send(http.DefaultClient, in, "/order/echo", "lost before")
 	is.NoErr(err)
 	is.Equal(resp.StatusCode, 200)
-	is.Equal(target.runsOf("lost before"), 1)
+	is.Equal(target.runCount("lost before"), 1)
 
-	f.fault = func(ctx context.Context, g *Gateway, body []byte) ([]byte, error) {
+	f.intercept = func(ctx context.Context, g *Gateway, body []byte) ([]byte, error) {
 		g.OnCall(ctx, "ingress", body)
 		return nil, lost
 	}
@@ -283,10 +285,10 @@
 	is.NoErr(err)
 	is.Equal(resp.StatusCode, 200) // the kept answer
 	is.Equal(body, "lost after")
-	is.Equal(target.runsOf("lost after"), 1)
+	is.Equal(target.runCount("lost after"), 1)
 
 	var late []byte
-	f.fault = func(_ context.Context, _ *Gateway, body []byte) ([]byte, error) {
+	f.intercept = func(_ context.Context, _ *Gateway, body []byte) ([]byte, error) {
 		if late == nil {
 			late = bytes.Clone(body)
 		}
@@ -296,18 +298,18 @@
 	is.NoErr(err)
 	is.Equal(resp.Header.Get(headerVerdict), "NotRun")
 	f.gateways["node-0"].OnCall(context.Background(), "ingress", late)
-	is.Equal(target.runsOf("late"), 0) // a voided attempt that arrives late
+	is.Equal(target.runCount("late"), 0) // a voided attempt that arrives late does not run
 }
 
 // TestDuplicateDeliveryRunsOnce guards against running one request id twice.
 func TestDuplicateDeliveryRunsOnce(t *testing.T) {
 	is := is.New(t)
-	target := newStandIn(t)
+	target := newFakeTarget(t)
 	g := newFleet(t, 8, target).gateways["node-0"]
 	for _, idempotent := range []bool{true, false} {
 		body := fmt.Sprint("twice ", idempotent)
 		call := encode(wire.Call{Request: &wire.Request{
-			ID: ident.RequestID(body), Gate: gateLife, Target: "target-0", Attempt: 1, Idempotent: idempotent,
+			ID: ident.RequestID(body), Gate: gateIncarnation, Target: "target-0", Attempt: 1, Idempotent: idempotent,
 			RemainingMillis: 20000, Method: "POST", URI: []byte("/order/echo"), Body: []byte(body),
 		}})
 		var group sync.WaitGroup
@@ -315,22 +317,22 @@
 			group.Go(func() { g.OnCall(context.Background(), "ingress", bytes.Clone(call)) })
 		}
 		group.Wait()
-		is.Equal(target.runsOf(body), 1)
+		is.Equal(target.runCount(body), 1)
 		a, err := wire.DecodeAnswer(g.OnCall(context.Background(), "ingress", call), 1<<20)
 		is.NoErr(err)
 		is.True(a.Response.Verdict != result.NotRun) // it did run
 	}
 }
 
-// TestWaitingCallExpires guards against a waiting call that is forgotten after
-// its deadline, which its caller would have to take for one that may have run.
+// TestWaitingCallExpires guards against a waiting call that is not refused at its
+// deadline, so that its caller has to assume that it may have run.
 func TestWaitingCallExpires(t *testing.T) {
 	is := is.New(t)
-	target := newStandIn(t)
+	target := newFakeTarget(t)
 	g := newFleet(t, 1, target).gateways["node-0"]
 	send := func(id string, path string, millis clock.Millis) *wire.Response {
 		return g.Forward(context.Background(), &wire.Request{
-			ID: ident.RequestID(id), Gate: gateLife, Target: "target-0", Attempt: 1,
+			ID: ident.RequestID(id), Gate: gateIncarnation, Target: "target-0", Attempt: 1,
 			RemainingMillis: millis, Method: "POST", URI: []byte(path), Body: []byte(id),
 		})
 	}
@@ -342,7 +344,7 @@
 	resp := send("expires", "/order/echo", 30)
 	is.Equal(resp.Verdict, result.NotRun)
 	is.Equal(resp.Reason, admit.ReasonExpired)
-	is.Equal(target.runsOf("expires"), 0)
+	is.Equal(target.runCount("expires"), 0)
 	close(target.release)
 	is.Equal((<-held).Verdict, result.Ran)
 }
--- a/io/proxy/reply.go
+++ b/io/proxy/reply.go
@@ -11,7 +11,8 @@
 	"hickoryrail/io/wire"
 )
 
-// reply writes the outcome. The body belongs to resp, which is never reused.
+// reply writes the outcome to ctx and counts it. The response body is not copied,
+// which is safe because resp is never reused.
 func (in *Ingress) reply(ctx *fasthttp.RequestCtx, resp *wire.Response, arrived clock.Millis) {
 	h := &ctx.Response.Header
 	if resp.Verdict == result.Ran {
@@ -26,18 +27,18 @@
 		}
 	} else {
 		status := statusOf(resp)
-		if in.Dialect.Outcome != nil {
-			var after clock.Millis
-			status, after = in.Dialect.Outcome(resp.Verdict, status, resp.Reason)
-			if after >= 0 {
-				h.Set("Retry-After", in.Dialect.RetryAfter(after))
+		if in.Dialect.ErrorStatus != nil {
+			var retryAfter clock.Millis
+			status, retryAfter = in.Dialect.ErrorStatus(resp.Verdict, status, resp.Reason)
+			if retryAfter >= 0 {
+				h.Set("Retry-After", in.Dialect.FormatRetryAfter(retryAfter))
 			}
 		}
 		ctx.SetStatusCode(status)
 		h.SetContentType("text/plain; charset=utf-8")
 		ctx.Response.SetBodyString(resp.Reason + "\n")
 	}
-	if !in.Dialect.Plain {
+	if !in.Dialect.OmitVerdictHeaders {
 		h.Set(headerVerdict, resp.Verdict.String())
 		if resp.Reason != "" {
 			h.Set(headerReason, resp.Reason)
@@ -47,9 +48,10 @@
 	in.metrics.delay.Observe((in.Clock.Now() - arrived).Duration().Seconds())
 }
 
-// malformed answers a request that fasthttp could not read. It changes nothing
-// else; the connection is closed, since its next request cannot be found.
-func (in *Ingress) malformed(ctx *fasthttp.RequestCtx, err error) {
+// replyMalformed responds to a request that fasthttp could not read; it has no other
+// effect. The connection is then closed, since the start of its next request is
+// unknown.
+func (in *Ingress) replyMalformed(ctx *fasthttp.RequestCtx, err error) {
 	var small *fasthttp.ErrSmallBuffer
 	var timeout net.Error
 	reason := reasonRequest
--- a/io/proxy/request.go
+++ b/io/proxy/request.go
@@ -16,14 +16,14 @@
 	"hickoryrail/io/wire"
 )
 
-// newCall routes a request and copies it. It returns the refusal of a request
-// that cannot be routed.
-func (in *Ingress) newCall(caller context.Context, ctx *fasthttp.RequestCtx, now clock.Millis) (*call, *wire.Response) {
-	left, ok := timeoutOf(ctx.Request.Header.Peek(in.Dialect.Timeout), model.MaxTimeoutMillis)
+// newCall routes a request and copies it. For a request that cannot be routed it
+// returns the refusal instead.
+func (in *Ingress) newCall(callerCtx context.Context, ctx *fasthttp.RequestCtx, now clock.Millis) (*call, *wire.Response) {
+	left, ok := timeoutOf(ctx.Request.Header.Peek(in.Dialect.TimeoutHeader), model.MaxTimeoutMillis)
 	if !ok {
 		return nil, notRun(reasonTimeout)
 	}
-	v := in.awaitView(caller, now, left)
+	v := in.awaitView(callerCtx, now, left)
 	if v == nil {
 		return nil, notRun(reasonNoView)
 	}
@@ -32,16 +32,16 @@
 		return nil, refusal
 	}
 	timeout := min(left, r.TimeoutMillis)
-	if len(ctx.Request.Header.Peek(headerKey)) > maxKeyBytes {
+	if len(ctx.Request.Header.Peek(headerIdempotencyKey)) > maxKeyBytes {
 		return nil, notRun(reasonKeyLength)
 	}
 	h := &ctx.Request.Header
 	in.mu.Lock()
 	r.Service = in.split.Next(&r)
-	waited := in.patience.Observe(now, r.Name, left)
+	waited := in.waitEstimator.Observe(now, r.Name, left)
 	in.mu.Unlock()
 	c := &call{
-		ctx: caller, view: v, route: r, began: now - waited, timeout: timeout, deadline: now + timeout, id: in.nextID(),
+		ctx: callerCtx, view: v, route: r, firstTriedAt: now - waited, timeout: timeout, deadline: now + timeout, id: in.nextID(),
 		request: wire.Request{
 			Route: r.Name, Class: r.Class, Idempotent: r.Idempotent,
 			HasGoal: r.GoalMillis > 0,
@@ -51,16 +51,16 @@
 		},
 	}
 	var id []byte
-	if in.Dialect.Request != "" {
-		id = h.Peek(in.Dialect.Request)
+	if in.Dialect.RequestIDHeader != "" {
+		id = h.Peek(in.Dialect.RequestIDHeader)
 	}
 	if len(id) > 0 && len(id) <= maxCallerIDBytes {
 		c.id = string(id) + "." + c.id
 		c.request.CallerID = ident.RequestID(id)
 	}
-	c.request.Rank, c.repeated = in.rankOf(id, &r)
-	if in.Dialect.Origin != "" {
-		c.request.Headers.Append([]byte(in.Dialect.Origin), []byte(in.Service))
+	c.request.Rank, c.parentRepeated = in.rankOf(id, &r)
+	if in.Dialect.OriginHeader != "" {
+		c.request.Headers.Append([]byte(in.Dialect.OriginHeader), []byte(in.Service))
 	}
 	if !c.request.Forwardable() {
 		return nil, notRun(reasonRequest)
@@ -68,19 +68,19 @@
 	return c, nil
 }
 
-// routeOf returns the route and the URI to forward. A path that another route
-// matches once it is normalized is refused: the target could take it for the
-// other one, whose rules on retries differ.
+// routeOf returns the route and the URI to forward. It refuses a path whose
+// normalized form matches another route: the target might handle the request by that
+// form, under the other route, whose retry rules differ.
 func routeOf(v *view.View, ctx *fasthttp.RequestCtx) (model.Route, []byte, *wire.Response) {
 	uri := ctx.Request.Header.RequestURI()
 	if len(uri) == 0 || uri[0] != '/' {
 		uri = ctx.URI().RequestURI() // absolute form
 	}
-	path, normal := string(pathOf(uri)), string(ctx.Path())
+	path, normalized := string(pathOf(uri)), string(ctx.Path())
 	host := string(ctx.Request.Header.Host())
 	r, ok := v.Route(host, path)
-	if path != normal {
-		if other, found := v.Route(host, normal); found != ok || other.Name != r.Name {
+	if path != normalized {
+		if other, found := v.Route(host, normalized); found != ok || other.Name != r.Name {
 			return model.Route{}, nil, notRun(reasonPath)
 		}
 	}
@@ -100,8 +100,9 @@
 	return uri
 }
 
-// timeoutOf returns the smaller of the caller's and the route's timeout. It
-// returns false for a header that is not a positive number.
+// timeoutOf returns the timeout that the header states, but at most limit; without a
+// header it returns limit. The second result is false for a header that is not a
+// positive number.
 func timeoutOf(header []byte, limit clock.Millis) (clock.Millis, bool) {
 	if len(header) == 0 {
 		return limit, true
@@ -115,11 +116,11 @@
 
 // nextID returns an id that no other request of any node has.
 func (in *Ingress) nextID() string {
-	return in.prefix + strconv.FormatUint(in.sequence.Add(1), 36)
+	return in.idPrefix + strconv.FormatUint(in.sequence.Add(1), 36)
 }
 
-// callerOf returns the caller's IP address.
-func callerOf(ctx *fasthttp.RequestCtx) netip.Addr {
+// callerIP returns the caller's IP address.
+func callerIP(ctx *fasthttp.RequestCtx) netip.Addr {
 	address, ok := ctx.RemoteAddr().(*net.TCPAddr)
 	if !ok {
 		return netip.Addr{} // the listener accepts TCP only
@@ -127,12 +128,12 @@
 	return address.AddrPort().Addr().Unmap()
 }
 
-// rankOf returns the urgency of a request: first the calls that a request running at
-// the target beside the node makes and waits for, then the classes in order.
-// The second result says that the request that makes the call was sent again.
+// rankOf returns the rank of a request: calls on behalf of a request that runs at the
+// local target come first, since that request waits for them, then the classes in
+// order. The second result reports whether that request is a repeated one.
 func (in *Ingress) rankOf(id []byte, r *model.Route) (admit.Rank, bool) {
-	if in.Gateway != nil && in.Dialect.Parent != nil {
-		running, repeated := in.Gateway.Runs(ident.RequestID(in.Dialect.Parent(id)))
+	if in.Gateway != nil && in.Dialect.ParentID != nil {
+		running, repeated := in.Gateway.Running(ident.RequestID(in.Dialect.ParentID(id)))
 		if running {
 			return admit.InnerRank, repeated
 		}
--- a/io/proxy/start.go
+++ b/io/proxy/start.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	// startMillis is the time after the start in which a call waits for the first
-	// configuration and for the first targets of its service, startShare the part of
-	// its timeout that it waits at most, and startPoll the interval at which it looks.
-	startMillis = 1 * clock.Second
-	startShare  = 0.25
-	startPoll   = 10 * time.Millisecond
+	// startWaitMillis is the time after the start of the node during which a call
+	// waits for the first configuration and for the first targets of its service,
+	// maxStartWaitShare the largest part of its timeout that it waits, and
+	// startPollInterval the interval between checks.
+	startWaitMillis   = 1 * clock.Second
+	maxStartWaitShare = 0.25
+	startPollInterval = 10 * time.Millisecond
 )
 
-// awaitView returns the view in force, for which it waits a moment; nil if there is
-// none. A node that has just started has one within a few tenths of a second, and
-// after a restart of the whole fleet callers that are refused use up their tries. The
-// caller gives up after timeout.
+// awaitView returns the current view. After the start it waits for the first one, and
+// returns nil if none arrives in time. A node that has just started gets its first
+// view within a few tenths of a second, and after a restart of the whole fleet
+// refused callers would use up their retries. timeout is the caller's.
 func (in *Ingress) awaitView(ctx context.Context, now, timeout clock.Millis) *view.View {
-	limit := min(in.opened+startMillis, now+timeout*startShare)
+	limit := min(in.openedAt+startWaitMillis, now+timeout*maxStartWaitShare)
 	for {
 		if v := in.view.Load(); v != nil {
 			return v
@@ -31,20 +32,20 @@
 		if in.Clock.Now() >= limit || ctx.Err() != nil {
 			return nil
 		}
-		time.Sleep(startPoll)
+		time.Sleep(startPollInterval)
 	}
 }
 
-// awaitTargets waits a moment for the first targets of a service and reports whether
-// to choose again. A node that has just started learns of targets within a few tenths
-// of a second; refusing its callers until then would cost them a way back.
+// awaitTargets waits for the first targets of a service and reports whether to pick
+// again. A node that has just started learns of targets within a few tenths of a
+// second; refusing calls until then would cost their callers a retry.
 func (in *Ingress) awaitTargets(c *call, choice route.Choice) bool {
 	now := in.Clock.Now()
-	limit := min(in.opened+startMillis, c.deadline-c.timeout+c.timeout*startShare)
+	limit := min(in.openedAt+startWaitMillis, c.deadline-c.timeout+c.timeout*maxStartWaitShare)
 	if choice.Reason != route.ReasonNoTargets || now >= limit || c.ctx.Err() != nil {
 		return false
 	}
-	c.waits = true
-	time.Sleep(startPoll)
+	c.waitsForTargets = true
+	time.Sleep(startPollInterval)
 	return true
 }
--- a/io/proxy/start_test.go
+++ b/io/proxy/start_test.go
@@ -10,12 +10,12 @@
 	"hickoryrail/core/view"
 )
 
-// TestCallsWaitForFirstView guards against a node that has just started and refuses
-// calls a moment before it gets its configuration, and against a wait at a node that
-// has been without one for long.
+// TestCallsWaitForFirstView guards against a node that refuses calls right after its
+// start because its first configuration has not arrived yet, and against calls that
+// wait although the start was long ago.
 func TestCallsWaitForFirstView(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(t, 4, newStandIn(t))
+	f := newFleet(t, 4, newFakeTarget(t))
 	in := newIngress(t, f)
 	in.view.Store(nil)
 	later := time.AfterFunc(100*time.Millisecond, func() { in.SetView(f.view, 1) })
@@ -25,7 +25,7 @@
 	is.Equal(resp.StatusCode, 200)
 	in.view.Store(nil)
 	in.mu.Lock()
-	in.opened -= startMillis
+	in.openedAt -= startWaitMillis
 	in.mu.Unlock()
 	began := time.Now()
 	resp, _, err = send(http.DefaultClient, in, "/check/echo", "")
@@ -34,12 +34,12 @@
 	is.True(time.Since(began) < 100*time.Millisecond)
 }
 
-// TestCallsWaitForFirstTargets guards against a node that has just started and
-// refuses calls a moment before it learns of the first target, and against a wait at
-// a node that has been up for long.
+// TestCallsWaitForFirstTargets guards against a node that refuses calls right after
+// its start because it knows no target yet, and against calls that wait although the
+// start was long ago.
 func TestCallsWaitForFirstTargets(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(t, 4, newStandIn(t))
+	f := newFleet(t, 4, newFakeTarget(t))
 	in := newIngress(t, f)
 	in.SetView(view.Build(f.view.Release(), nil), 1)
 	later := time.AfterFunc(100*time.Millisecond, func() { in.SetView(f.view, 1) })
@@ -49,7 +49,7 @@
 	is.Equal(resp.StatusCode, 200)
 	in.SetView(view.Build(f.view.Release(), nil), 1)
 	in.mu.Lock()
-	in.opened -= startMillis
+	in.openedAt -= startWaitMillis
 	in.mu.Unlock()
 	resp, _, err = send(http.DefaultClient, in, "/check/echo", "")
 	is.NoErr(err)
--- a/io/proxy/status.go
+++ b/io/proxy/status.go
@@ -10,8 +10,8 @@
 	"hickoryrail/io/wire"
 )
 
-// statuses holds the HTTP status of each reason that has one of its own.
-var statuses = map[string]int{
+// statusByReason holds the HTTP status of each reason that has its own.
+var statusByReason = map[string]int{
 	reasonNoRoute:         fasthttp.StatusNotFound,
 	reasonPath:            fasthttp.StatusBadRequest,
 	reasonTimeout:         fasthttp.StatusBadRequest,
@@ -31,9 +31,9 @@
 	retry.ReasonDeadline:  fasthttp.StatusGatewayTimeout,
 }
 
-// statusOf returns the HTTP status of an outcome without an answer.
+// statusOf returns the HTTP status of an outcome without a response from the target.
 func statusOf(resp *wire.Response) int {
-	status, ok := statuses[resp.Reason]
+	status, ok := statusByReason[resp.Reason]
 	switch {
 	case resp.Verdict == result.NotRun && (!ok || status == fasthttp.StatusGatewayTimeout):
 		return fasthttp.StatusServiceUnavailable
--- a/io/proxy/target.go
+++ b/io/proxy/target.go
@@ -20,14 +20,15 @@
 )
 
 const (
-	// dialMillis bounds a connect to the local target; a new connection takes
+	// dialMillis bounds connecting to the local target, which usually takes
 	// about 1 ms.
 	dialMillis = 500 * clock.Millis(1)
 	// maxInterim bounds the interim (1xx) responses before the final one.
 	maxInterim = 8
-	// chunked and identity are the values of ContentLength without a length.
+	// chunked and identity are the values by which fasthttp's ContentLength reports a
+	// body without a length: in chunks, and until the connection ends.
 	chunked, identity = -1, -2
-	// idleMillis is the age at which an idle connection to the target is closed.
+	// idleMillis is the time after which an idle connection to the target is closed.
 	idleMillis = 30 * clock.Second
 )
 
@@ -40,13 +41,13 @@
 	reasonAnswerSize   = "target's answer is too large"
 	reasonGaveUp       = "caller gave up"
 	reasonUnexecuted   = "target did not run the request"
-	reasonProof        = "answer is not the target's whole one"
+	reasonUnsigned     = "answer is not the target's whole one"
 )
 
 type (
-	// target is the HTTP client of the local target. It sends each request once:
-	// it uses a HostClient for its connection pool and never its Do method,
-	// which repeats requests on its own.
+	// target is the HTTP client of the local target. It sends each request once: it
+	// uses a HostClient for its connection pool only and never its Do method, which
+	// retries requests.
 	target struct {
 		id      ident.TargetID
 		address string
@@ -55,37 +56,39 @@
 		client  *fasthttp.HostClient
 	}
 
-	// targetConn counts the bytes that the kernel took for the current request.
+	// targetConn counts the bytes of the current request that the kernel accepted.
 	targetConn struct {
 		net.Conn
-		raw  syscall.RawConn
-		sent int
-		// used says that the connection has carried a request before.
+		raw       syscall.RawConn
+		sentBytes int
+		// used is set once the connection has carried a request.
 		used bool
 	}
 
 	// exchange is one request on one connection.
 	exchange struct {
-		conn  *targetConn
-		req   *fasthttp.Request
-		resp  *fasthttp.Response
-		until time.Time
-		// id is the caller's id of the request, which the answer repeats.
+		conn     *targetConn
+		req      *fasthttp.Request
+		resp     *fasthttp.Response
+		deadline time.Time
+		// id is the caller's id of the request, which the response repeats; empty if
+		// the dialect has none.
 		id []byte
-		// ended says that the answer ended with its connection, and stray that
-		// there was an answer to another request before it.
-		ended, stray bool
+		// bodyToEOF is set if the response body ended with its connection, and
+		// sawStray if a response to another request preceded it.
+		bodyToEOF, sawStray bool
 	}
 )
 
 var (
-	// errPipe reports a connection that is not a TCP connection.
-	errPipe = errors.New("connection to the target is not TCP")
-	// errClosed reports a new connection that the target has closed.
-	errClosed = errors.New("target closed a new connection")
-	// errNoLength reports an answer that ends with its connection.
+	// errNotTCP reports a connection that is not a TCP connection.
+	errNotTCP = errors.New("connection to the target is not TCP")
+	// errConnClosed reports a new connection that the target closed before the
+	// request was sent.
+	errConnClosed = errors.New("target closed a new connection")
+	// errNoLength reports a response whose body ends with its connection.
 	errNoLength = errors.New("answer has neither a length nor chunks")
-	// errInterim reports an answer that never becomes final.
+	// errInterim reports a response that does not become final.
 	errInterim = errors.New("answer has too many or unusable interim responses")
 )
 
@@ -96,11 +99,11 @@
 		Addr:        address,
 		DialTimeout: dialTarget,
 		MaxConns:    int(connections),
-		// Neither setting is in use while Do is not called.
+		// These two only affect Do, which is not called.
 		MaxIdemponentCallAttempts: 1,
 		RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 		MaxIdleConnDuration:       idleMillis.Duration(),
-		// The most recent connection is the least likely to be stale.
+		// The connection that was used last is the least likely to be stale.
 		ConnPoolStrategy:         fasthttp.LIFO,
 		ReadBufferSize:           int(limits.HeaderBytes),
 		MaxResponseBodySize:      int(limits.BodyBytes),
@@ -119,7 +122,7 @@
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
 		_ = c.Close()
-		return nil, errPipe
+		return nil, errNotTCP
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
@@ -129,15 +132,15 @@
 	return &targetConn{Conn: c, raw: raw}, nil
 }
 
-// Write counts the bytes that were handed to the kernel.
+// Write counts the bytes that the kernel accepted.
 func (c *targetConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.sent += n
+	c.sentBytes += n
 	return n, err
 }
 
-// stale reports whether the peer closed the idle connection or sent bytes that
-// belong to no request, which would become the answer to the next one.
+// stale reports whether the target closed the idle connection or sent bytes that
+// belong to no request, which would be read as the response to the next one.
 func (c *targetConn) stale() bool {
 	stale := true
 	var b [1]byte
@@ -149,9 +152,10 @@
 	return stale || err != nil
 }
 
-// call sends r once and returns the target's complete answer or a *result.Error.
-// A done ctx ends it if r is idempotent; otherwise the answer is awaited until
-// the deadline, because a cut would lose the outcome of an action that runs.
+// call sends r once and returns the target's complete response or a *result.Error. If
+// r is idempotent, it ends when ctx is done; otherwise it waits for the response
+// until the deadline, because an interrupted exchange would lose the outcome of an
+// action that runs.
 func (t *target) call(ctx context.Context, now, deadline clock.Millis, r *wire.Request) (*wire.Response, error) {
 	left := (deadline - now).Duration()
 	if left <= 0 {
@@ -166,17 +170,17 @@
 		conn, ok := cc.Conn().(*targetConn)
 		if !ok {
 			t.client.CloseConn(cc)
-			return nil, result.NewError(result.NotRun, reasonNoConnection, errPipe)
+			return nil, result.NewError(result.NotRun, reasonNoConnection, errNotTCP)
 		}
-		conn.sent = 0
+		conn.sentBytes = 0
 		if conn.SetDeadline(until) != nil || conn.stale() {
-			// Nothing was sent. An idle connection may be replaced; a target that
-			// closes a new one accepts no more.
+			// Nothing was sent. A stale pooled connection is replaced; a target that
+			// closes a new one is not accepting connections.
 			t.client.CloseConn(cc)
 			if conn.used {
 				continue
 			}
-			return nil, result.NewError(result.NotRun, reasonNoConnection, errClosed)
+			return nil, result.NewError(result.NotRun, reasonNoConnection, errConnClosed)
 		}
 		conn.used = true
 		resp, reusable, err := t.exchange(ctx, conn, r, until)
@@ -189,10 +193,10 @@
 	}
 }
 
-// exchange sends r on conn and reads the answer. It reports whether the
-// connection can carry another request.
+// exchange sends r on conn and reads the response. It reports whether the connection
+// can be reused.
 func (t *target) exchange(ctx context.Context, conn *targetConn, r *wire.Request, until time.Time) (*wire.Response, bool, error) {
-	x := exchange{conn: conn, req: fasthttp.AcquireRequest(), resp: fasthttp.AcquireResponse(), until: until}
+	x := exchange{conn: conn, req: fasthttp.AcquireRequest(), resp: fasthttp.AcquireResponse(), deadline: until}
 	defer fasthttp.ReleaseRequest(x.req)
 	defer fasthttp.ReleaseResponse(x.resp)
 	stop := func() bool { return true }
@@ -200,18 +204,18 @@
 		stop = context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 	}
 	clean, err := t.roundTrip(&x, r)
-	// A stop that comes too late leaves a deadline on the connection.
+	// If the AfterFunc has already run, the connection has a deadline in the past.
 	clean = stop() && clean
 	if err != nil {
-		return nil, false, x.verdict(ctx, err)
+		return nil, false, x.resultError(ctx, err)
 	}
-	if t.refused(x.resp) {
+	if t.unexecuted(x.resp) {
 		return nil, clean && !x.resp.ConnectionClose(), result.NewError(result.NotRun, reasonUnexecuted, nil)
 	}
-	if !t.dialect.proves(x.resp.StatusCode(), x.resp.Header.Peek) {
-		return nil, false, result.NewError(result.MayHaveRun, reasonProof, nil)
+	if !t.dialect.isSigned(x.resp.StatusCode(), x.resp.Header.Peek) {
+		return nil, false, result.NewError(result.MayHaveRun, reasonUnsigned, nil)
 	}
-	// The pooled response is copied before it is released.
+	// The response is copied, since x.resp goes back to its pool.
 	resp := &wire.Response{
 		Verdict: result.Ran, Status: x.resp.StatusCode(),
 		Headers: copyHeaders(x.resp.Header.All(), x.resp.Header.Peek("Connection"), nil),
@@ -223,17 +227,18 @@
 	return resp, clean && !x.resp.ConnectionClose(), nil
 }
 
-// refused reports whether the target says that it did not run the request.
-func (t *target) refused(resp *fasthttp.Response) bool {
+// unexecuted reports whether the target's response states that it did not run the
+// request.
+func (t *target) unexecuted(resp *fasthttp.Response) bool {
 	return t.dialect.Unexecuted != nil && t.dialect.Unexecuted(resp.StatusCode(), resp.Header.Peek)
 }
 
-// roundTrip writes the request and reads the answer. It reports whether the
-// answer was followed by nothing else.
+// roundTrip writes the request and reads the response. It reports whether the
+// connection is clean, with nothing else sent before or after the response.
 func (t *target) roundTrip(x *exchange, r *wire.Request) (bool, error) {
-	t.fill(x.req, r, time.Until(x.until))
-	if t.dialect.Request != "" {
-		x.id = x.req.Header.Peek(t.dialect.Request)
+	t.fillRequest(x.req, r, time.Until(x.deadline))
+	if t.dialect.RequestIDHeader != "" {
+		x.id = x.req.Header.Peek(t.dialect.RequestIDHeader)
 	}
 	w := t.client.AcquireWriter(x.conn)
 	err := x.req.Write(w)
@@ -248,24 +253,24 @@
 	defer t.client.ReleaseReader(b)
 	x.resp.SkipBody = r.Method == fasthttp.MethodHead
 	for {
-		if err := x.read(b, int(t.limits.BodyBytes), t.dialect.Proof != ""); err != nil {
+		if err := x.read(b, int(t.limits.BodyBytes), t.dialect.SignatureHeader != ""); err != nil {
 			return false, err
 		}
-		if t.dialect.answers(x.id, x.resp.Header.Peek) {
+		if t.dialect.matchesRequest(x.id, x.resp.Header.Peek) {
 			break
 		}
-		// A late answer to an earlier request of this connection.
-		x.stray = true
+		// This is a late response to an earlier request on this connection.
+		x.sawStray = true
 		x.resp.Reset()
 		x.resp.SkipBody = r.Method == fasthttp.MethodHead
 	}
-	return !x.ended && !x.stray && b.Buffered() == 0, nil
+	return !x.bodyToEOF && !x.sawStray && b.Buffered() == 0, nil
 }
 
-// read reads the final response. A body that ends with the connection looks
-// complete when it was cut, so it is refused unless the answer has a proof that
-// callers check.
-func (x *exchange) read(b *bufio.Reader, limit int, unframed bool) error {
+// read reads the final response. A body that ends with the connection looks complete
+// even when it was cut, so it is refused unless allowEOF says that the dialect has a
+// signature, which callers check.
+func (x *exchange) read(b *bufio.Reader, limit int, allowEOF bool) error {
 	h := &x.resp.Header
 	for interim := 0; ; interim++ {
 		if err := h.Read(b); err != nil {
@@ -282,12 +287,12 @@
 	if x.resp.SkipBody || h.StatusCode() == fasthttp.StatusNoContent || h.StatusCode() == fasthttp.StatusNotModified {
 		return nil
 	}
-	if length == identity && !unframed {
+	if length == identity && !allowEOF {
 		return errNoLength
 	}
 	if length == identity {
-		x.ended = true
-		return x.readRest(b, limit)
+		x.bodyToEOF = true
+		return x.readBodyToEOF(b, limit)
 	}
 	if err := x.resp.ReadBody(b, limit); err != nil {
 		return err
@@ -298,8 +303,8 @@
 	return nil
 }
 
-// readRest reads a body that ends with the connection. A reset is an error.
-func (x *exchange) readRest(b *bufio.Reader, limit int) error {
+// readBodyToEOF reads a body that ends with the connection. A reset is an error.
+func (x *exchange) readBodyToEOF(b *bufio.Reader, limit int) error {
 	body, err := io.ReadAll(io.LimitReader(b, int64(limit)+1))
 	if err != nil {
 		return err
@@ -311,8 +316,8 @@
 	return nil
 }
 
-// fill sets the HTTP request that r describes.
-func (t *target) fill(req *fasthttp.Request, r *wire.Request, left time.Duration) {
+// fillRequest sets req to the HTTP request that r describes.
+func (t *target) fillRequest(req *fasthttp.Request, r *wire.Request, left time.Duration) {
 	req.Header.SetMethod(r.Method)
 	req.Header.SetRequestURIBytes(r.URI)
 	for name, value := range r.Headers.All() {
@@ -321,26 +326,26 @@
 	if len(req.Header.Host()) == 0 {
 		req.Header.SetHost("target")
 	}
-	if t.dialect.Request == "" {
+	if t.dialect.RequestIDHeader == "" {
 		req.Header.Set(headerRequest, string(r.ID))
 	}
-	if t.dialect.Target != "" {
-		req.Header.Set(t.dialect.Target, string(t.id))
+	if t.dialect.TargetHeader != "" {
+		req.Header.Set(t.dialect.TargetHeader, string(t.id))
 	}
-	req.Header.Set(t.dialect.Timeout, strconv.FormatInt(max(left.Milliseconds(), 1), 10))
+	req.Header.Set(t.dialect.TimeoutHeader, strconv.FormatInt(max(left.Milliseconds(), 1), 10))
 	req.SetBodyRaw(r.Body)
 }
 
-// verdict returns the error of a failed exchange. Without a single byte sent,
-// the target cannot have run the request. After that, even a connection that
-// was closed while idle gives MayHaveRun: the target may have read the request
-// before it closed.
-func (x *exchange) verdict(ctx context.Context, err error) error {
+// resultError returns the *result.Error of a failed exchange. If no byte was sent,
+// the target cannot have run the request. After that the verdict is MayHaveRun even
+// if the connection was closed while idle: the target may have read the request
+// before it closed the connection.
+func (x *exchange) resultError(ctx context.Context, err error) error {
 	var small *fasthttp.ErrSmallBuffer
 	switch {
-	case x.conn.sent == 0:
+	case x.conn.sentBytes == 0:
 		return result.NewError(result.NotRun, reasonNoBytes, err)
-	case !time.Now().Before(x.until):
+	case !time.Now().Before(x.deadline):
 		return result.NewError(result.MayHaveRun, reasonDeadline, err)
 	case ctx.Err() != nil:
 		return result.NewError(result.MayHaveRun, reasonGaveUp, err)
--- a/io/proxy/target_test.go
+++ b/io/proxy/target_test.go
@@ -15,13 +15,13 @@
 	"hickoryrail/io/wire"
 )
 
-// TestDyingTargetMayHaveRun guards against a repeated request, or a verdict of
-// NotRun or Ran, when the answer is cut.
-func TestDyingTargetMayHaveRun(t *testing.T) {
+// TestCutAnswerMayHaveRun guards against a repeated request, or a verdict of NotRun
+// or Ran, when the connection ends in the middle of the response.
+func TestCutAnswerMayHaveRun(t *testing.T) {
 	is := is.New(t)
-	target := newStandIn(t)
+	target := newFakeTarget(t)
 	in := newIngress(t, newFleet(t, 4, target))
-	for _, path := range []string{"/order/die", "/order/identity"} {
+	for _, path := range []string{"/order/abort", "/order/identity"} {
 		// An open connection from an earlier request is used for the next one.
 		_, _, err := send(http.DefaultClient, in, "/order/echo", "warm")
 		is.NoErr(err)
@@ -29,7 +29,7 @@
 		is.NoErr(err)
 		is.Equal(resp.StatusCode, 502)
 		is.Equal(resp.Header.Get(headerVerdict), "MayHaveRun")
-		is.Equal(target.runsOf("cut "+path), 1)
+		is.Equal(target.runCount("cut "+path), 1)
 	}
 	_, _, err := send(http.DefaultClient, in, "/order/echo", "warm")
 	is.NoErr(err)
@@ -40,8 +40,8 @@
 	is.Equal(resp.Header.Get(headerVerdict), "NotRun")
 }
 
-// TestStaleConnectionSendsOnce guards against repeating a request whose reused
-// connection closes after the request was sent.
+// TestStaleConnectionSendsOnce guards against repeating a request when the target
+// closes a reused connection after the request was sent.
 func TestStaleConnectionSendsOnce(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -63,14 +63,14 @@
 					}
 					requests.Add(1)
 					if n > 0 {
-						return // reads a second request and closes without an answer
+						return // reads a second request and closes without a response
 					}
 					_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 				}
 			}()
 		}
 	}()
-	f := newFleet(t, 1, &standIn{address: l.Addr().String()})
+	f := newFleet(t, 1, &fakeTarget{address: l.Addr().String()})
 	in := newIngress(t, f)
 	for _, method := range []string{http.MethodGet, http.MethodPut} {
 		before := requests.Load()
@@ -82,15 +82,15 @@
 			_ = resp.Body.Close()
 			is.Equal(resp.StatusCode, want)
 		}
-		is.Equal(requests.Load()-before, int64(2)) // the methods that HTTP calls idempotent too
+		is.Equal(requests.Load()-before, int64(2)) // no repetition even for methods that HTTP defines as idempotent
 	}
 }
 
-// TestLimits guards against unclear answers to oversized and malformed requests
-// and against any effect of them.
+// TestLimits guards against oversized or malformed requests that have an effect or
+// get an unclear response.
 func TestLimits(t *testing.T) {
 	is := is.New(t)
-	target := newStandIn(t)
+	target := newFakeTarget(t)
 	in := newIngress(t, newFleet(t, 4, target))
 	resp, _, err := send(http.DefaultClient, in, "/order/echo", strings.Repeat("x", 200<<10))
 	is.NoErr(err)
@@ -134,8 +134,8 @@
 	is.Equal(len(target.runs), 0)
 }
 
-// TestTargetThatClosesNewConnections guards against a loop of new connections to a
-// target that accepts no more and closes each at once.
+// TestTargetThatClosesNewConnections guards against endless reconnecting to a target
+// that closes each new connection at once.
 func TestTargetThatClosesNewConnections(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/io/proxy/void.go
+++ b/io/proxy/void.go
@@ -10,9 +10,9 @@
 	"hickoryrail/io/wire"
 )
 
-// void makes sure that an attempt never runs, or tells what became of it. It
-// waits for a running one, since its outcome is worth more than an unknown one.
-// The answer is encoded, because a kept one is.
+// void makes sure that an attempt never runs, or returns its outcome. It waits for a
+// running attempt to end, because its outcome is more useful to the caller than
+// MayHaveRun. The answer is returned in encoded form, in which answers are kept.
 func (g *Gateway) void(ctx context.Context, v *wire.Void) []byte {
 	c, answer := g.beginVoid(v)
 	if c == nil {
@@ -27,17 +27,17 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.outcome(g.Clock.Now(), v)
+	return g.answerVoid(g.Clock.Now(), v)
 }
 
-// beginVoid records the void. It returns the call that is still at the gate, or
-// else the answer.
+// beginVoid handles the void at its arrival. It returns the call if that is still at
+// the gate, or else the answer.
 func (g *Gateway) beginVoid(v *wire.Void) (*gateCall, []byte) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.metrics.voids.Inc()
 	now := g.Clock.Now()
-	answer := g.outcome(now, v)
+	answer := g.answerVoid(now, v)
 	c := g.calls[v.ID]
 	if c == nil || v.Gate != g.Incarnation {
 		return nil, answer
@@ -45,15 +45,15 @@
 	if c.ended == nil {
 		c.ended = make(chan struct{})
 	}
-	// A call that waits is refused now; one that runs is not affected.
+	// A waiting call is refused; a running one is not affected.
 	g.apply(now, g.gate.Cancel(now, v.ID))
 	return c, nil
 }
 
-// outcome voids an attempt that was not seen and returns the encoded answer.
+// answerVoid voids the attempt unless its id is known and returns the encoded answer.
 // The caller holds mu.
-func (g *Gateway) outcome(now clock.Millis, v *wire.Void) []byte {
-	a := g.fence.Void(now, v.Gate, v.ID)
+func (g *Gateway) answerVoid(now clock.Millis, v *wire.Void) []byte {
+	a := g.dedup.Void(now, v.Gate, v.ID)
 	g.Log.Record(logs.Decision{At: now, Kind: logs.Admit, Request: v.ID, Node: g.Self, Verdict: a.Verdict, Reason: a.Reason})
 	if a.Kind == once.Replay {
 		return a.Response
--- a/io/stats/registry.go
+++ b/io/stats/registry.go
@@ -9,7 +9,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Namespace starts the name of every metric of hickoryrail.
+// Namespace is the prefix of the name of every metric.
 const Namespace = "hickoryrail"
 
 // NewRegistry returns a registry with the collectors of the Go runtime and of the
@@ -23,8 +23,8 @@
 	return r
 }
 
-// Handler returns the handler that serves the metrics of g. A collector that
-// fails leaves out its own metrics only.
+// Handler returns the HTTP handler that serves the metrics of g. If a collector
+// fails, only its own metrics are missing.
 func Handler(g prometheus.Gatherer) http.Handler {
 	return promhttp.HandlerFor(g, promhttp.HandlerOpts{ErrorHandling: promhttp.ContinueOnError})
 }
--- a/io/stats/registry_test.go
+++ b/io/stats/registry_test.go
@@ -9,7 +9,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// TestHandler guards against metrics of the runtime, the process or a module that
+// TestHandler guards against metrics of the Go runtime, the process or a package that
 // are not served.
 func TestHandler(t *testing.T) {
 	is := is.New(t)
