--- a/io/node/node.go
+++ b/io/node/node.go
@@ -186,7 +186,7 @@
 
 // onCall answers a call stream of another node.
 func (n *Node) onCall(ctx context.Context, from ident.NodeID, body []byte) []byte {
-	if wire.IsHeldQuery(body) {
+	if wire.IsVersionQuery(body) {
 		return n.status.answer()
 	}
 	return n.gateway.OnCall(ctx, from, body)
--- a/io/node/request_test.go
+++ b/io/node/request_test.go
@@ -139,7 +139,7 @@
 	stranger.SendControl(a.name, a.PeerAddress(), messages[1])
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	_, err = stranger.Call(ctx, a.name, a.PeerAddress(), wire.HeldQuery())
+	_, err = stranger.Call(ctx, a.name, a.PeerAddress(), wire.VersionQuery())
 	is.Equal(result.Of(err), result.NotRun)
 
 	// An announcement at the wrong node, in each way.
--- a/io/node/status.go
+++ b/io/node/status.go
@@ -106,11 +106,11 @@
 
 // ask returns the version that a member has in force, or 0 without an answer.
 func (s *status) ask(ctx context.Context, r member.Record) ident.Version {
-	body, err := s.fleet.transport.Call(ctx, r.Node, r.PeerAddress, wire.HeldQuery())
+	body, err := s.fleet.transport.Call(ctx, r.Node, r.PeerAddress, wire.VersionQuery())
 	if err != nil {
 		return 0
 	}
-	held, err := wire.DecodeHeld(body)
+	held, err := wire.DecodeVersionReply(body)
 	if err != nil {
 		return 0
 	}
@@ -121,5 +121,5 @@
 func (s *status) answer() []byte {
 	s.fleet.mu.Lock()
 	defer s.fleet.mu.Unlock()
-	return wire.EncodeHeld(s.fleet.inForce.Version)
+	return wire.EncodeVersionReply(s.fleet.inForce.Version)
 }
--- a/io/proxy/attempt.go
+++ b/io/proxy/attempt.go
@@ -101,7 +101,7 @@
 	r := c.request
 	r.ID = ident.RequestID(c.id + "-" + strconv.Itoa(number))
 	r.Repeated = c.repeated || c.state.Arrivals > 0
-	r.Looks = in.looks(c)
+	r.FailFast = in.looks(c)
 	r.Gate, r.Target, r.Attempt = choice.Target.GateIncarnation, choice.Target.ID, number
 	left := c.deadline - sent
 	r.RemainingMillis = max(left-min(hopMillis, left*hopShare), 0)
@@ -128,7 +128,7 @@
 	o.Verdict = resp.Verdict
 	in.mu.Lock()
 	in.Picker.Done(now, choice.Target.ID, o)
-	if r.Looks && o.Verdict != result.MayHaveRun {
+	if r.FailFast && o.Verdict != result.MayHaveRun {
 		in.Search.Looked(c.route.Service, resp.Reason != admit.ReasonNoFreeSlot)
 	}
 	in.drainEvents()
--- a/io/proxy/gatecall.go
+++ b/io/proxy/gatecall.go
@@ -35,7 +35,7 @@
 	if r.CallerID != "" {
 		g.running[r.CallerID] = c
 	}
-	call := admit.Call{ID: r.ID, Class: r.Class, Rank: r.Rank, Deadline: deadline, FailFast: r.Looks}
+	call := admit.Call{ID: r.ID, Class: r.Class, Rank: r.Rank, Deadline: deadline, FailFast: r.FailFast}
 	if r.HasGoal {
 		call.Goal = now + r.GoalMillis
 	}
--- a/io/wire/call.go
+++ b/io/wire/call.go
@@ -22,42 +22,48 @@
 
 type (
 	// Request is one attempt of a caller's request, sent to the node beside the
-	// target. It owns all of its bytes.
+	// target. It owns its byte slices; none aliases an
+	// I/O buffer.
 	Request struct {
 		_ struct{} `cbor:",toarray"`
 		// ID is unique per attempt, so that a void record covers one attempt.
 		ID ident.RequestID
 		// CallerID is the caller's own id of the request; empty if it has none.
 		CallerID ident.RequestID
-		// Gate is the life of the gate that the attempt is addressed to.
+		// Gate is the incarnation of the gate that the attempt is addressed to.
 		Gate ident.Incarnation
 		// Target is the target that the ingress chose.
 		Target ident.TargetID
 		// Attempt counts from 1.
 		Attempt int
-		// Repeated says that an earlier attempt may have got to a target, or that
-		// a request which was repeated makes this call.
+		// Repeated is set if an earlier attempt may have reached a target, or if
+		// the call was made while a target handled a request that was itself
+		// repeated.
 		Repeated   bool
 		Route      ident.RouteName
 		Class      model.Class
 		Idempotent bool
-		// Rank and GoalMillis are for a gate that orders calls by goal; GoalMillis
-		// is relative and may be negative once HasGoal.
+		// Rank, HasGoal and GoalMillis are used by a gate that orders calls by
+		// response-time goal. GoalMillis is the remaining time, valid only if HasGoal
+		// is set; it is negative once the goal has passed.
 		Rank       admit.Rank
 		HasGoal    bool
 		GoalMillis clock.Millis
-		// RemainingMillis is relative, because the clocks of nodes differ.
+		// RemainingMillis is the time until the deadline. It is relative because
+		// the clocks of nodes differ.
 		RemainingMillis clock.Millis
 		Method          string
 		URI             []byte
 		Headers         Headers
 		Body            []byte
-		// Looks refuses the attempt unless a slot is free now or soon.
-		Looks bool
+		// FailFast asks the gate to refuse the attempt at once unless a slot is free
+		// now or soon.
+		FailFast bool
 	}
 
 	// Response is the outcome of one attempt. Status, Headers and Body are set
-	// only if Verdict is Ran. It owns all of its bytes.
+	// only if Verdict is Ran. It owns its byte slices; none aliases an
+	// I/O buffer.
 	Response struct {
 		_       struct{} `cbor:",toarray"`
 		Verdict result.Verdict
@@ -65,16 +71,16 @@
 		Status  int
 		Headers Headers
 		Body    []byte
-		// ContentLength is that of the answer to a HEAD request, which has no
-		// body; 0 otherwise.
+		// ContentLength is the Content-Length of the answer to a HEAD request, which
+		// has no body; 0 otherwise.
 		ContentLength int
 		Load          admit.Load
-		// Arrived says that the attempt got to the target, which may have refused
+		// Arrived is set if the attempt reached the target, which may have refused
 		// it.
 		Arrived bool
 	}
 
-	// Void asks a gate never to run an attempt.
+	// Void asks a gate to guarantee that an attempt is never run.
 	Void struct {
 		_    struct{} `cbor:",toarray"`
 		ID   ident.RequestID
@@ -84,22 +90,22 @@
 	}
 
 	// Voided is the reply to Void if the attempt's Response is not known. NotRun
-	// means that the attempt never runs.
+	// means that the attempt will never run.
 	Voided struct {
 		_       struct{} `cbor:",toarray"`
 		Verdict result.Verdict
 		Reason  string
 	}
 
-	// Call is the envelope of what opens a call stream; exactly one field is set.
+	// Call is the message that opens a call stream; exactly one field is set.
 	Call struct {
 		_       struct{} `cbor:",toarray"`
 		Request *Request
 		Void    *Void
 	}
 
-	// Answer is the envelope of what closes a call stream; exactly one field is
-	// set. A Void of an attempt whose response is kept is answered by that.
+	// Answer is the message that ends a call stream; exactly one field is set. The
+	// answer to a Void of an attempt whose response was kept is that Response.
 	Answer struct {
 		_        struct{} `cbor:",toarray"`
 		Response *Response
@@ -108,8 +114,8 @@
 )
 
 var (
-	// errEnvelope reports an envelope without exactly one message.
-	errEnvelope = errors.New("call envelope does not hold exactly one message")
+	// errEnvelope reports a Call or an Answer that does not have exactly one field set.
+	errEnvelope = errors.New("call or answer does not contain exactly one message")
 	// errCallField reports a field that is out of its bounds.
 	errCallField = errors.New("call has a field that is out of bounds")
 )
@@ -144,7 +150,7 @@
 	return a, nil
 }
 
-// valid reports whether every field is within its bounds.
+// valid reports whether every field of the request is within its bounds.
 func (r *Request) valid() bool {
 	return validID(r.ID) && len(r.Target) <= maxIDBytes && len(r.Route) <= maxIDBytes && len(r.CallerID) <= maxIDBytes &&
 		r.Attempt >= 1 && r.Attempt <= 2*model.MaxRouteAttempts && r.Class <= model.Browse && r.Rank <= admit.LastRank &&
@@ -152,25 +158,25 @@
 		r.Forwardable()
 }
 
-// Forwardable reports whether method, URI and headers can be written as one
-// HTTP request that a target reads in the same way.
+// Forwardable reports whether method, URI and headers can be written as exactly one
+// HTTP request, which the target parses to the same values.
 func (r *Request) Forwardable() bool {
 	return validMethod(r.Method) && validURI(r.URI) && r.Headers.valid()
 }
 
-// valid reports whether every field is within its bounds.
+// valid reports whether every field of the response is within its bounds.
 func (r *Response) valid() bool {
 	statusOK := r.Verdict != result.Ran && r.Status == 0 || r.Verdict == result.Ran && r.Status >= 100 && r.Status <= 999
 	return r.Verdict <= result.Ran && statusOK && len(r.Reason) <= maxIDBytes &&
 		r.ContentLength >= 0 && r.Load.Free >= 0 && r.Load.Queued >= 0 && r.Headers.valid()
 }
 
-// valid reports whether every field is within its bounds.
+// valid reports whether every field of the request to void is within its bounds.
 func (v *Void) valid() bool {
 	return validID(v.ID) && v.RemainingMillis >= 0 && v.RemainingMillis <= model.MaxTimeoutMillis
 }
 
-// valid reports whether every field is within its bounds.
+// valid reports whether every field of the reply is within its bounds.
 func (v *Voided) valid() bool {
 	return v.Verdict <= result.NotRun && len(v.Reason) <= maxIDBytes
 }
@@ -185,8 +191,8 @@
 	return len(m) <= 32 && validToken(m)
 }
 
-// validURI reports whether u is an origin-form target that cannot break out of
-// the request line.
+// validURI reports whether u is an origin-form request target without spaces and
+// control characters, which could end the request line early.
 func validURI(u []byte) bool {
 	if len(u) == 0 || len(u) > CallOverheadBytes/2 || u[0] != '/' {
 		return false
@@ -205,15 +211,16 @@
 		c := s[i]
 		letter := c|0x20 >= 'a' && c|0x20 <= 'z'
 		digit := c >= '0' && c <= '9'
-		if !letter && !digit && !isTokenMark(c) {
+		if !letter && !digit && !isTokenPunctuation(c) {
 			return false
 		}
 	}
 	return len(s) > 0
 }
 
-// isTokenMark reports whether c is a mark that a token may hold.
-func isTokenMark(c byte) bool {
+// isTokenPunctuation reports whether c is a punctuation character that an HTTP token
+// may contain.
+func isTokenPunctuation(c byte) bool {
 	switch c {
 	case '!', '#', '$', '%', '&', '\'', '*', '+', '-', '.', '^', '_', '`', '|', '~':
 		return true
--- a/io/wire/call_test.go
+++ b/io/wire/call_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// seedCalls adds valid and broken messages of both directions.
+// seedCalls adds valid, invalid and truncated calls and answers to the corpus.
 func seedCalls(f *testing.F) {
 	for _, m := range []any{
 		Call{Request: sampleRequest()},
@@ -41,9 +41,9 @@
 	}
 }
 
-// FuzzDecodeCall guards against a panic, an accepted call that breaks out of an
-// HTTP line, a result that shares memory with its input and a call that changes
-// when it is encoded again.
+// FuzzDecodeCall guards against a panic, an accepted call that could split an HTTP
+// request (a line break or space in a method, URI or header), a result that shares
+// memory with its input, and a call that changes when it is encoded again.
 func FuzzDecodeCall(f *testing.F) {
 	seedCalls(f)
 	f.Fuzz(func(t *testing.T, body []byte) {
@@ -80,8 +80,8 @@
 	})
 }
 
-// FuzzDecodeAnswer guards against a panic, a status without a run, and a result
-// that shares memory with its input.
+// FuzzDecodeAnswer guards against a panic, a status with a verdict other than Ran or a
+// Ran verdict without a status, and a result that shares memory with its input.
 func FuzzDecodeAnswer(f *testing.F) {
 	seedCalls(f)
 	f.Fuzz(func(t *testing.T, body []byte) {
@@ -104,8 +104,8 @@
 	})
 }
 
-// TestCallBounds guards against a call that names both messages or none, or that
-// could split an HTTP request.
+// TestCallBounds guards against accepting a call that has both messages or none, has
+// a field out of bounds, or could split an HTTP request.
 func TestCallBounds(t *testing.T) {
 	is := is.New(t)
 	for _, change := range []func(c *Call){
--- a/io/wire/codec.go
+++ b/io/wire/codec.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// maxElements bounds the lists and maps in one message.
+	// maxElements bounds the length of each list and map in a message.
 	maxElements = 4096
 	// maxDepth bounds the nesting of one message.
 	maxDepth = 8
 )
 
 var (
-	// encoder writes one byte string for equal messages.
+	// encoder is deterministic: equal messages have equal encodings.
 	encoder = codec.NewEncoder()
-	// decoder refuses unknown fields, duplicate keys, tags and trailing bytes.
+	// decoder rejects unknown fields, duplicate keys, tags and trailing bytes.
 	decoder = codec.NewDecoder(codec.Limits{Elements: maxElements, Depth: maxDepth})
 )
 
--- a/io/wire/control.go
+++ b/io/wire/control.go
@@ -10,8 +10,8 @@
 // MaxControlBytes bounds an encoded control message.
 const MaxControlBytes = 1 << 20
 
-// maxText bounds each text in a member record; ids are much shorter.
-const maxText = 256
+// maxStringBytes bounds each string in a membership message; ids are much shorter.
+const maxStringBytes = 256
 
 // Control is a control message between two nodes. Exactly one field is set.
 type Control struct {
@@ -21,14 +21,14 @@
 }
 
 var (
-	// errControl reports a control message without exactly one content.
-	errControl = errors.New("control message must have exactly one content")
-	// errContent reports a control message whose content is out of range.
-	errContent = errors.New("content of control message is out of range")
+	// errControl reports a control message that does not have exactly one field set.
+	errControl = errors.New("control message must contain exactly one message")
+	// errContent reports a control message with a field that is out of range.
+	errContent = errors.New("control message has a field that is out of range")
 )
 
-// EncodeControl returns the encoded message. It returns an error for one that
-// the receiver would refuse.
+// EncodeControl returns the encoded message. It returns an error for a message that
+// DecodeControl would reject.
 func EncodeControl(c Control) ([]byte, error) {
 	if err := c.check(); err != nil {
 		return nil, err
@@ -49,7 +49,8 @@
 	return c, nil
 }
 
-// check returns an error unless c is well formed.
+// check returns an error unless exactly one field of c is set and its content is in
+// range.
 func (c Control) check() error {
 	if (c.Member == nil) == (c.Spread == nil) {
 		return errControl
@@ -60,25 +61,26 @@
 		}
 		return nil
 	}
-	if !c.Member.Valid() || len(c.Member.Target) > maxText || len(c.Member.Address) > maxText {
+	if !c.Member.Valid() || len(c.Member.Target) > maxStringBytes || len(c.Member.Address) > maxStringBytes {
 		return errContent
 	}
 	for _, u := range c.Member.Updates {
-		if !shortTexts(u) {
+		if !stringsWithinLimit(u) {
 			return errContent
 		}
 	}
 	return nil
 }
 
-// shortTexts reports whether all texts of an update are within the limit.
-func shortTexts(u member.Update) bool {
+// stringsWithinLimit reports whether all strings of an update are within
+// maxStringBytes.
+func stringsWithinLimit(u member.Update) bool {
 	r := u.Record
 	for _, n := range [...]int{
 		len(r.Node), len(r.PeerAddress), len(r.FailureDomain), len(r.Region),
 		len(r.Service), len(r.Target), len(u.Observer),
 	} {
-		if n > maxText {
+		if n > maxStringBytes {
 			return false
 		}
 	}
--- a/io/wire/control_test.go
+++ b/io/wire/control_test.go
@@ -55,7 +55,8 @@
 	}
 }
 
-// TestControlRoundTrip guards against fields that get lost on the way.
+// TestControlRoundTrip guards against fields that are lost between encoding and
+// decoding, and against accepting a message with trailing or missing bytes.
 func TestControlRoundTrip(t *testing.T) {
 	is := is.New(t)
 	for _, c := range samples(t) {
@@ -67,14 +68,15 @@
 		_, err = DecodeControl(append(body, 0))
 		is.True(err != nil) // trailing bytes
 		_, err = DecodeControl(body[:len(body)-1])
-		is.True(err != nil) // cut short
+		is.True(err != nil) // truncated
 	}
 }
 
-// TestControlRefuses guards against messages that a state machine must not see.
+// TestControlRefuses guards against passing invalid messages to the membership and
+// distribution state machines.
 func TestControlRefuses(t *testing.T) {
 	is := is.New(t)
-	long := ident.NodeID(strings.Repeat("x", maxText+1))
+	long := ident.NodeID(strings.Repeat("x", maxStringBytes+1))
 	for _, c := range []Control{
 		{},
 		{Member: &member.Message{}, Spread: &spread.Message{}},
@@ -97,7 +99,7 @@
 }
 
 // FuzzControl guards against input that makes the decoder or the state machines
-// fail, and against an accepted message that does not encode to the same bytes.
+// panic, and against an accepted message whose encoding is not stable.
 func FuzzControl(f *testing.F) {
 	for _, c := range samples(f) {
 		body, err := EncodeControl(c)
--- a/io/wire/former_test.go
+++ b/io/wire/former_test.go
@@ -23,12 +23,13 @@
 	"hickoryrail/io/wire"
 )
 
-// formerPath holds encodings that the build of commit 3ffe633 wrote, one a line:
-// the name of the value, a space, and its bytes in hexadecimal digits.
+// formerPath is a file with encodings that the build of commit 3ffe633 wrote, one per
+// line: the name of the value, a space, and its bytes in hexadecimal digits.
 const formerPath = "testdata/former.txt"
 
-// fill sets every field of v, in the order of declaration, to a value that
-// differs from that of the other fields, so that a moved or renamed field shows.
+// fill sets every field of v, in the order of declaration, to a value that differs
+// from that of the other fields, so that a moved or renamed field changes the
+// encoding.
 func fill(v reflect.Value, n *int) {
 	*n++
 	switch v.Kind() {
@@ -79,15 +80,16 @@
 	return v
 }
 
-// formerCase is a value with its encoding; back decodes and encodes again.
+// formerCase is a named value with its encoding by this build; reencode decodes an
+// encoding and encodes the result.
 type formerCase struct {
-	name string
-	body []byte
-	back func(body []byte) ([]byte, error)
+	name     string
+	body     []byte
+	reencode func(body []byte) ([]byte, error)
 }
 
-// message returns the case of a CBOR message.
-func message[T any](t *testing.T, name string, v T) formerCase {
+// messageCase returns the test case of a CBOR message.
+func messageCase[T any](t *testing.T, name string, v T) formerCase {
 	encode := func(v T) []byte {
 		body, err := wire.Encode(v)
 		if err != nil {
@@ -101,8 +103,8 @@
 	}}
 }
 
-// document returns the case of a JSON row or document.
-func document[T any](t *testing.T, name string) formerCase {
+// documentCase returns the test case of a JSON row or document.
+func documentCase[T any](t *testing.T, name string) formerCase {
 	encode := func(v T) []byte {
 		body, err := json.Marshal(v)
 		if err != nil {
@@ -117,8 +119,8 @@
 	}}
 }
 
-// names returns the case of the texts of an enumeration's first n values.
-func names[T interface {
+// enumCase returns the test case of the names of an enumeration's first n values.
+func enumCase[T interface {
 	~uint8
 	fmt.Stringer
 }](name string, n int) formerCase {
@@ -130,44 +132,44 @@
 	return formerCase{name, body, func(body []byte) ([]byte, error) { return body, nil }}
 }
 
-// formerCases returns everything that former.txt holds.
+// formerCases returns a test case for every line of former.txt.
 func formerCases(t *testing.T) []formerCase {
 	return []formerCase{
-		message(t, "Control.Member", wire.Control{Member: new(filled[member.Message]())}),
-		message(t, "Control.Spread", wire.Control{Spread: new(filled[spread.Message]())}),
-		message(t, "Call.Request", wire.Call{Request: new(filled[wire.Request]())}),
-		message(t, "Call.Void", wire.Call{Void: new(filled[wire.Void]())}),
-		message(t, "Answer.Response", wire.Answer{Response: new(filled[wire.Response]())}),
-		message(t, "Answer.Voided", wire.Answer{Voided: new(filled[wire.Voided]())}),
-		message(t, "Configuration", filled[model.Configuration]()),
-		{"HeldQuery", wire.HeldQuery(), func(body []byte) ([]byte, error) { return body, nil }},
-		{"Held", wire.EncodeHeld(7), func(body []byte) ([]byte, error) {
-			v, err := wire.DecodeHeld(body)
-			return wire.EncodeHeld(v), err
+		messageCase(t, "Control.Member", wire.Control{Member: new(filled[member.Message]())}),
+		messageCase(t, "Control.Spread", wire.Control{Spread: new(filled[spread.Message]())}),
+		messageCase(t, "Call.Request", wire.Call{Request: new(filled[wire.Request]())}),
+		messageCase(t, "Call.Void", wire.Call{Void: new(filled[wire.Void]())}),
+		messageCase(t, "Answer.Response", wire.Answer{Response: new(filled[wire.Response]())}),
+		messageCase(t, "Answer.Voided", wire.Answer{Voided: new(filled[wire.Voided]())}),
+		messageCase(t, "Configuration", filled[model.Configuration]()),
+		{"HeldQuery", wire.VersionQuery(), func(body []byte) ([]byte, error) { return body, nil }},
+		{"Held", wire.EncodeVersionReply(7), func(body []byte) ([]byte, error) {
+			v, err := wire.DecodeVersionReply(body)
+			return wire.EncodeVersionReply(v), err
 		}},
-		document[lease.Row](t, "LeaseRow"),
-		document[once.KeyRow](t, "KeyRow"),
-		document[order.Head](t, "Head"),
-		document[order.Edit](t, "Edit"),
-		document[order.EditRow](t, "EditRow"),
-		document[order.History](t, "History"),
-		document[order.ScheduleRow](t, "ScheduleRow"),
-		document[admin.Status](t, "Status"),
-		document[admin.NodeStatus](t, "NodeStatus"),
-		document[admin.Outcome](t, "Outcome"),
-		document[admin.HistoryEntry](t, "HistoryEntry"),
-		names[member.Kind]("member.Kind", 6),
-		names[member.State]("member.State", 4),
-		names[member.TargetState]("member.TargetState", 5),
-		names[spread.Kind]("spread.Kind", 5),
-		names[model.Class]("model.Class", 3),
-		names[result.Verdict]("result.Verdict", 3),
+		documentCase[lease.Row](t, "LeaseRow"),
+		documentCase[once.KeyRow](t, "KeyRow"),
+		documentCase[order.Head](t, "Head"),
+		documentCase[order.Edit](t, "Edit"),
+		documentCase[order.EditRow](t, "EditRow"),
+		documentCase[order.History](t, "History"),
+		documentCase[order.ScheduleRow](t, "ScheduleRow"),
+		documentCase[admin.Status](t, "Status"),
+		documentCase[admin.NodeStatus](t, "NodeStatus"),
+		documentCase[admin.Outcome](t, "Outcome"),
+		documentCase[admin.HistoryEntry](t, "HistoryEntry"),
+		enumCase[member.Kind]("member.Kind", 6),
+		enumCase[member.State]("member.State", 4),
+		enumCase[member.TargetState]("member.TargetState", 5),
+		enumCase[spread.Kind]("spread.Kind", 5),
+		enumCase[model.Class]("model.Class", 3),
+		enumCase[result.Verdict]("result.Verdict", 3),
 		{"admit.LastRank", []byte(fmt.Sprint(admit.LastRank)), func(body []byte) ([]byte, error) { return body, nil }},
 	}
 }
 
-// TestFormerEncodings guards against nodes, rows and documents of the former build
-// that this build writes or reads differently, for example after a field was
+// TestFormerEncodings guards against messages, rows and documents that this build
+// writes or reads differently from the former build, for example after a field was
 // renamed or moved.
 func TestFormerEncodings(t *testing.T) {
 	is := is.New(t)
@@ -186,10 +188,10 @@
 			is.Equal(hex.EncodeToString(c.body), former[c.name]) // this build writes the same bytes
 			body, err := hex.DecodeString(former[c.name])
 			is.NoErr(err)
-			again, err := c.back(body)
+			again, err := c.reencode(body)
 			is.NoErr(err)                    // this build reads them
-			is.Equal(body, again)            // and no field gets lost
-			is.True(len(former[c.name]) > 0) // the list has the value
+			is.Equal(body, again)            // and no field is lost
+			is.True(len(former[c.name]) > 0) // former.txt contains the value
 		})
 	}
 }
--- a/io/wire/headers.go
+++ b/io/wire/headers.go
@@ -7,19 +7,19 @@
 
 // Headers is a list of header fields in one block of bytes, so that copying,
 // encoding and decoding it takes one allocation. Each field is its name, a
-// colon, its value and a line feed. Values hold any bytes that HTTP allows,
-// which need not be UTF-8.
+// colon, its value and a line feed. Values may contain any bytes that HTTP allows
+// and need not be UTF-8.
 type Headers []byte
 
 const (
-	// nameEnd and fieldEnd end a field's name and the field.
+	// nameEnd terminates a field's name and fieldEnd the field.
 	nameEnd, fieldEnd = ':', '\n'
-	// fieldMarks is the number of marks in a field.
-	fieldMarks = 2
+	// fieldDelimiters is the number of delimiter bytes in a field.
+	fieldDelimiters = 2
 )
 
-// Append appends a field. A field that could be read as another one makes the
-// list invalid.
+// Append appends a field. A name that is not a token, or a value that contains a line
+// feed, makes the list invalid, because it could be parsed as other fields.
 func (h *Headers) Append(name, value []byte) {
 	if !validToken(name) || bytes.IndexByte(value, fieldEnd) >= 0 {
 		*h = append(*h, fieldEnd)
@@ -29,8 +29,8 @@
 	*h = append(append(*h, value...), fieldEnd)
 }
 
-// All returns the names and values in order. They share the list's memory. An
-// invalid list ends early.
+// All returns the names and values in order. They share the list's memory. The
+// iteration stops at the first malformed field.
 func (h Headers) All() iter.Seq2[[]byte, []byte] {
 	return func(yield func(name, value []byte) bool) {
 		for rest := []byte(h); len(rest) > 0; {
@@ -44,8 +44,8 @@
 	}
 }
 
-// valid reports whether no field can break out of its line, and whether there
-// are not too many.
+// valid reports whether the list is well formed, no value contains a control
+// character other than a tab, and there are at most MaxCallHeaders fields.
 func (h Headers) valid() bool {
 	fields, size := 0, 0
 	for name, value := range h.All() {
@@ -58,7 +58,7 @@
 			}
 		}
 		fields++
-		size += len(name) + len(value) + fieldMarks
+		size += len(name) + len(value) + fieldDelimiters
 	}
 	return fields <= MaxCallHeaders && size == len(h)
 }
