--- a/io/frame/call.go
+++ b/io/frame/call.go
@@ -10,9 +10,9 @@
 	"hickoryrail/io/peer"
 )
 
-// Call sends a request to a node and returns the whole answer. The error is a
-// *result.Error: NotRun if the request was not sent whole or the peer refused it
-// before it was run, MayHaveRun otherwise. When ctx ends, the handler's ctx ends
+// Call sends a request to a node and returns the complete answer. The error is a
+// *result.Error: NotRun if the request was not sent completely or the peer refused it
+// without running it, MayHaveRun otherwise. When ctx ends, the handler's ctx ends
 // too.
 func (t *Transport) Call(ctx context.Context, to ident.NodeID, address string, body []byte) ([]byte, error) {
 	return t.call(ctx, to, address, body, false)
@@ -23,14 +23,14 @@
 	return t.call(ctx, to, address, body, true)
 }
 
-// call connects, exchanges and counts the verdict.
+// call makes a call and counts its verdict.
 func (t *Transport) call(ctx context.Context, to ident.NodeID, address string, body []byte, fresh bool) ([]byte, error) {
 	answer, err := t.attempt(ctx, to, address, body, fresh)
 	t.metrics.calls.WithLabelValues(result.Of(err).String()).Inc()
 	return answer, err
 }
 
-// attempt makes one call.
+// attempt connects to the node and sends a request.
 func (t *Transport) attempt(ctx context.Context, to ident.NodeID, address string, body []byte, fresh bool) ([]byte, error) {
 	if len(body) > t.BodyBytes {
 		return nil, result.NewError(result.NotRun, reasonTooLarge, nil)
@@ -42,8 +42,8 @@
 	return c.exchange(ctx, kindCall, body)
 }
 
-// Echo sends a frame on a dialed connection and returns nil once its answer has
-// come back. It does not count as a call.
+// Echo sends an echo frame on a dialed connection and returns nil once the reply has
+// arrived. It does not count as a call.
 func (t *Transport) Echo(ctx context.Context, id peer.ConnectionID) error {
 	t.mu.Lock()
 	c := t.dialed[id]
@@ -57,7 +57,7 @@
 
 // SendControl queues a control message. It never blocks; a message that does not
 // fit in the queue is dropped and counted. With an empty address it is sent only
-// if there is a connection. It owns body.
+// on a connection that the peer dialed. SendControl takes ownership of body.
 func (t *Transport) SendControl(to ident.NodeID, address string, body []byte) {
 	l := t.link(to)
 	if l == nil {
@@ -70,15 +70,16 @@
 		t.metrics.dropped.Inc()
 		return
 	}
-	l.queue = append(l.queue, parcel{address: address, body: body})
+	l.queue = append(l.queue, outgoing{address: address, body: body})
 	if !l.flushing {
 		l.flushing = true
 		t.group.Go(func() { t.flush(l) })
 	}
 }
 
-// flush sends the control messages of a link until none is left. Messages that
-// cannot be sent are dropped: the state machines above repeat what matters.
+// flush sends the queued control messages of a link until the queue is empty. Messages
+// that cannot be sent are dropped: the membership and distribution protocols, which
+// use the transport, send again what they still need.
 func (t *Transport) flush(l *link) {
 	for {
 		l.mu.Lock()
@@ -87,39 +88,39 @@
 			l.mu.Unlock()
 			return
 		}
-		p := l.queue[0]
+		out := l.queue[0]
 		l.queue = l.queue[1:]
 		l.mu.Unlock()
-		if !t.sendControl(l.node, p) {
+		if !t.sendControl(l.node, out) {
 			t.metrics.dropped.Inc()
 		}
 	}
 }
 
-// sendControl sends one control message: on a connection that the node itself
-// dialed if there is one, which needs no other.
-func (t *Transport) sendControl(to ident.NodeID, p parcel) bool {
-	m := message{kind: kindControl, payload: p.body}
+// sendControl sends one control message and reports whether it was written. It uses a
+// connection that the peer dialed if there is one, which saves a dial.
+func (t *Transport) sendControl(to ident.NodeID, out outgoing) bool {
+	m := message{kind: kindControl, payload: out.body}
 	if s := t.acceptedFrom(to); s != nil && s.write(m) == nil {
-		t.metrics.controlSent.Add(uint64(lengthBytes + headBytes + len(p.body)))
+		t.metrics.controlSent.Add(uint64(lengthBytes + headerBytes + len(out.body)))
 		return true
 	}
-	if p.address == "" {
+	if out.address == "" {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(t.life, dialMillis.Duration())
+	ctx, cancel := context.WithTimeout(t.runCtx, dialMillis.Duration())
 	defer cancel()
-	c, err := t.connect(ctx, to, p.address, false)
+	c, err := t.connect(ctx, to, out.address, false)
 	if err != nil || c.write(m) != nil {
 		return false
 	}
-	t.metrics.controlSent.Add(uint64(lengthBytes + headBytes + len(p.body)))
+	t.metrics.controlSent.Add(uint64(lengthBytes + headerBytes + len(out.body)))
 	return true
 }
 
-// control counts and delivers a control message.
-func (t *Transport) control(from ident.NodeID, body []byte) {
-	t.metrics.controlReceived.Add(uint64(lengthBytes + headBytes + len(body)))
+// deliverControl counts a received control message and passes it to OnControl.
+func (t *Transport) deliverControl(from ident.NodeID, body []byte) {
+	t.metrics.controlReceived.Add(uint64(lengthBytes + headerBytes + len(body)))
 	if t.OnControl != nil {
 		t.OnControl(from, body)
 	}
@@ -140,29 +141,30 @@
 	return l
 }
 
-// connect returns a connection to a node at an address. Concurrent callers share
-// one dial.
+// connect returns a connection to a node at an address. If fresh is set, it was opened
+// after connect was called. Concurrent callers share one dial.
 func (t *Transport) connect(ctx context.Context, to ident.NodeID, address string, fresh bool) (*connection, error) {
 	l := t.link(to)
 	if l == nil {
 		return nil, errClosed
 	}
-	asked := l.usable(address)
-	if asked != nil && !fresh {
-		return asked, nil
+	previous := l.usable(address)
+	if previous != nil && !fresh {
+		return previous, nil
 	}
 	l.dialing.Lock()
 	defer l.dialing.Unlock()
-	if c := l.usable(address); c != nil && (!fresh || c != asked) {
+	if c := l.usable(address); c != nil && (!fresh || c != previous) {
 		return c, nil
 	}
-	if err := l.mayDial(address); err != nil {
+	if err := l.checkRedialDelay(address); err != nil {
 		return nil, err
 	}
 	return t.dial(ctx, l, address)
 }
 
-// usable returns the link's connection if it is open and leads to address.
+// usable returns the link's connection if it is open and was dialed to address, or
+// nil.
 func (l *link) usable(address string) *connection {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -172,8 +174,9 @@
 	return l.current
 }
 
-// mayDial returns an error shortly after a failed dial to the same address.
-func (l *link) mayDial(address string) error {
+// checkRedialDelay returns errRedial during the pause after a failed dial to the same
+// address.
+func (l *link) checkRedialDelay(address string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.failedAddress == address && time.Since(l.failedAt) < redialMillis.Duration() {
@@ -182,8 +185,8 @@
 	return nil
 }
 
-// dial opens a connection and makes it the one for new calls. The caller holds
-// l.dialing.
+// dial opens a connection and makes it the link's connection for new calls. The caller
+// holds l.dialing.
 func (t *Transport) dial(ctx context.Context, l *link, address string) (*connection, error) {
 	d := net.Dialer{Timeout: dialMillis.Duration()}
 	conn, err := d.DialContext(ctx, "tcp", address)
@@ -194,7 +197,7 @@
 		return nil, err
 	}
 	c := &connection{transport: t, node: l.node, address: address, conn: conn, waiting: make(map[callID]chan message)}
-	if err := t.opened(c); err != nil {
+	if err := t.register(c); err != nil {
 		_ = conn.Close()
 		return nil, err
 	}
@@ -213,8 +216,9 @@
 	return c, nil
 }
 
-// opened counts a dialed connection.
-func (t *Transport) opened(c *connection) error {
+// register assigns an id to a dialed connection and adds it to the open ones. It
+// returns errClosed if the transport is closed.
+func (t *Transport) register(c *connection) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.closed {
@@ -226,8 +230,8 @@
 	return nil
 }
 
-// removed forgets a connection that ended.
-func (t *Transport) removed(c *connection) {
+// unregister removes a dialed connection that ended and reports its end.
+func (t *Transport) unregister(c *connection) {
 	t.mu.Lock()
 	delete(t.dialed, c.id)
 	t.mu.Unlock()
--- a/io/frame/codec.go
+++ b/io/frame/codec.go
@@ -11,43 +11,45 @@
 )
 
 const (
-	// kindHello opens a connection and names the dialing node.
+	// kindHello opens a connection; its payload is the id of the dialing node.
 	kindHello kind = iota + 1
 	// kindCall carries a request.
 	kindCall
-	// kindAnswer carries the whole answer to a request.
+	// kindAnswer carries the complete answer to a request.
 	kindAnswer
-	// kindRefused says that the request was not run.
+	// kindRefused reports that the request was not run.
 	kindRefused
-	// kindFailed says that the handler failed after it was started.
+	// kindFailed reports that the handler failed after it was started.
 	kindFailed
-	// kindCancel says that the caller gave the request up.
+	// kindCancel reports that the caller no longer needs the answer to a request.
 	kindCancel
 	// kindControl carries a control message.
 	kindControl
-	// kindEcho asks for kindEchoed, which proves that the connection works.
+	// kindEcho requests a kindEchoed frame, which shows that the connection works.
 	kindEcho
-	// kindEchoed answers kindEcho.
+	// kindEchoed is the reply to kindEcho.
 	kindEchoed
 )
 
 const (
-	// lengthBytes is the size of the length of a frame.
+	// lengthBytes is the size of the length prefix of a frame.
 	lengthBytes = 4
-	// headBytes is the size of a frame's kind and id.
-	headBytes = 5
+	// headerBytes is the size of a frame's kind and call id, which follow the length
+	// prefix and are included in the length.
+	headerBytes = 5
 	// bufferBytes is the size of a connection's read buffer.
 	bufferBytes = 4 << 10
 )
 
 type (
-	// kind says what a frame carries.
+	// kind is the type of a frame.
 	kind uint8
 
-	// callID names a call on its connection; it is never used twice there.
+	// callID identifies a call on its connection and is not reused there.
 	callID uint32
 
-	// message is one frame: its length, its kind, the call's id and the payload.
+	// message is the content of one frame. It is encoded as a length, the kind, the
+	// id of the call or echo (0 for other frames) and the payload.
 	message struct {
 		kind    kind
 		id      callID
@@ -55,26 +57,27 @@
 	}
 )
 
-// errFrame reports bytes that are not a frame.
+// errFrame reports bytes that are not a valid frame.
 var errFrame = errors.New("malformed frame")
 
-// encode returns the frame as bytes.
+// encode returns the bytes of the frame.
 func (m message) encode() []byte {
-	out := make([]byte, 0, lengthBytes+headBytes+len(m.payload))
-	out = binary.BigEndian.AppendUint32(out, uint32(headBytes+len(m.payload)))
+	out := make([]byte, 0, lengthBytes+headerBytes+len(m.payload))
+	out = binary.BigEndian.AppendUint32(out, uint32(headerBytes+len(m.payload)))
 	out = append(out, byte(m.kind))
 	out = binary.BigEndian.AppendUint32(out, uint32(m.id))
 	return append(out, m.payload...)
 }
 
-// read returns the next frame, whose payload has at most limit bytes.
+// read returns the next frame. It returns errFrame if the payload is longer than limit
+// or the kind is unknown.
 func read(b *bufio.Reader, limit int) (message, error) {
-	var head [lengthBytes + headBytes]byte
-	if _, err := io.ReadFull(b, head[:]); err != nil {
+	var header [lengthBytes + headerBytes]byte
+	if _, err := io.ReadFull(b, header[:]); err != nil {
 		return message{}, err
 	}
-	length := int(binary.BigEndian.Uint32(head[:lengthBytes])) - headBytes
-	m := message{kind: kind(head[lengthBytes]), id: callID(binary.BigEndian.Uint32(head[lengthBytes+1:]))}
+	length := int(binary.BigEndian.Uint32(header[:lengthBytes])) - headerBytes
+	m := message{kind: kind(header[lengthBytes]), id: callID(binary.BigEndian.Uint32(header[lengthBytes+1:]))}
 	if length < 0 || length > limit || m.kind < kindHello || m.kind > kindEchoed {
 		return message{}, fmt.Errorf("%w: kind %d with %d bytes", errFrame, m.kind, length)
 	}
--- a/io/frame/connection.go
+++ b/io/frame/connection.go
@@ -22,20 +22,21 @@
 		address   string
 		conn      net.Conn
 
-		// writing serializes frames.
+		// writing serializes the writes of frames.
 		writing sync.Mutex
 
 		// mu guards what follows.
 		mu     sync.Mutex
 		nextID callID
-		// waiting maps each call without an answer to its caller's channel, which
-		// has room for one message.
+		// waiting maps each unanswered call to its caller's channel, which has a
+		// buffer for one message.
 		waiting map[callID]chan message
-		// failure is set once, when the connection ends.
+		// failure is the reason for the end of the connection; it is set once.
 		failure error
 	}
 
-	// link is the way to one node: the connection for new calls.
+	// link is the state for sending to one node: the connection for new calls and
+	// the queue of control messages.
 	link struct {
 		node ident.NodeID
 
@@ -47,29 +48,30 @@
 		// failedAt is the time of the last failed dial to failedAddress.
 		failedAt      time.Time
 		failedAddress string
-		// queue holds the control messages that wait; flushing is set while a
+		// queue holds the control messages to be sent; flushing is set while a
 		// goroutine sends them.
-		queue    []parcel
+		queue    []outgoing
 		flushing bool
 	}
 
-	// parcel is a control message with the address to send it to.
-	parcel struct {
+	// outgoing is a control message to be sent to an address.
+	outgoing struct {
 		address string
 		body    []byte
 	}
 )
 
 var (
-	// errSilent reports a connection without progress.
-	errSilent = errors.New("connection made no progress")
-	// errRedial reports a node to which a dial has just failed.
-	errRedial = errors.New("a dial has just failed")
-	// errReplaced reports a connection that was replaced by a fresh one.
+	// errStalled reports a connection that the stall detector closed.
+	errStalled = errors.New("connection made no progress")
+	// errRedial reports that a dial to the same address failed a short time ago.
+	errRedial = errors.New("not dialing again so soon after a failed dial")
+	// errReplaced reports a connection that was closed because its node has another
+	// address now.
 	errReplaced = errors.New("connection was replaced")
 )
 
-// write sends one frame. After an error the frame was not sent whole, and the
+// write sends one frame. After an error the frame was not sent completely, and the
 // connection is closed.
 func (c *connection) write(m message) error {
 	body := m.encode()
@@ -83,7 +85,7 @@
 	return err
 }
 
-// begin registers a call; it fails on a connection that has ended.
+// begin registers a call. It returns an error if the connection has ended.
 func (c *connection) begin() (callID, chan message, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -96,14 +98,15 @@
 	return c.nextID, answer, nil
 }
 
-// forget drops a call that needs no answer any more.
+// forget removes a call whose caller no longer waits for an answer.
 func (c *connection) forget(id callID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.waiting, id)
 }
 
-// fail ends the connection; the calls on it end without an answer.
+// fail closes the connection, once, with err as the reason; the calls on it end
+// without an answer.
 func (c *connection) fail(err error) {
 	c.mu.Lock()
 	if c.failure != nil {
@@ -118,7 +121,7 @@
 	for _, answer := range waiting {
 		close(answer)
 	}
-	c.transport.removed(c)
+	c.transport.unregister(c)
 }
 
 // ended reports whether the connection can carry no more calls.
@@ -128,7 +131,8 @@
 	return c.failure != nil
 }
 
-// receive hands the answers to their callers until the connection ends.
+// receive delivers answers to their callers and control messages to OnControl until
+// the connection ends.
 func (c *connection) receive() {
 	b := bufio.NewReaderSize(c.conn, bufferBytes)
 	for {
@@ -137,9 +141,9 @@
 			c.fail(err)
 			return
 		}
-		c.transport.emit(peer.Progress, c, headBytes+len(m.payload))
+		c.transport.emit(peer.Progress, c, headerBytes+len(m.payload))
 		if m.kind == kindControl {
-			c.transport.control(c.node, m.payload)
+			c.transport.deliverControl(c.node, m.payload)
 			continue
 		}
 		c.mu.Lock()
@@ -152,7 +156,7 @@
 	}
 }
 
-// exchange sends a call or an echo and waits for the answer.
+// exchange sends a call or an echo and waits for its reply.
 func (c *connection) exchange(ctx context.Context, k kind, body []byte) ([]byte, error) {
 	id, answer, err := c.begin()
 	if err != nil {
@@ -164,7 +168,7 @@
 		defer c.transport.emit(peer.Ended, c, 0)
 	}
 	if err := c.write(message{kind: k, id: id, payload: body}); err != nil {
-		// A peer runs whole requests only.
+		// The peer runs only requests that it received completely.
 		return nil, result.NewError(result.NotRun, reasonWrite, err)
 	}
 	select {
@@ -173,16 +177,17 @@
 	case <-ctx.Done():
 	}
 	if k == kindCall {
-		_ = c.write(message{kind: kindCancel, id: id}) // a lost connection cancels as well
+		_ = c.write(message{kind: kindCancel, id: id}) // if this fails, the lost connection ends the handler's ctx
 	}
-	reason := reasonGaveUp
+	reason := reasonCancelled
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		reason = reasonDeadline
 	}
 	return nil, result.NewError(result.MayHaveRun, reason, ctx.Err())
 }
 
-// outcome returns what a message says of the call that it answers.
+// outcome returns the result of a call from its reply; ok is false if the connection
+// ended before the reply.
 func outcome(m message, ok bool, c *connection) ([]byte, error) {
 	switch {
 	case !ok:
--- a/io/frame/former_test.go
+++ b/io/frame/former_test.go
@@ -9,8 +9,9 @@
 	"github.com/matryer/is"
 )
 
-// TestFormerFrames guards against frames of the former build (commit 3ffe633) that
-// this build writes or reads differently, for example after a kind was moved.
+// TestFormerFrames guards against frames that this build writes or reads differently
+// from the former build (commit 3ffe633), for example after the constants of kinds were
+// reordered.
 func TestFormerFrames(t *testing.T) {
 	is := is.New(t)
 	for k, former := range map[kind]string{
--- a/io/frame/metrics.go
+++ b/io/frame/metrics.go
@@ -8,7 +8,7 @@
 	"hickoryrail/io/stats"
 )
 
-// metrics counts what the transport does.
+// metrics holds the transport's counters.
 type metrics struct {
 	calls   *prometheus.CounterVec
 	served  prometheus.Counter
@@ -19,8 +19,8 @@
 	controlSent, controlReceived atomic.Uint64
 }
 
-// open creates the collectors and registers them.
-func (m *metrics) open(r prometheus.Registerer) error {
+// register creates the collectors and registers them with r, if there is one.
+func (m *metrics) register(r prometheus.Registerer) error {
 	m.calls = stats.Counters("peer_calls_total", "Calls to other nodes.", "verdict")
 	m.served = stats.Counter("peer_served_total", "Calls of other nodes that were started.")
 	m.refused = stats.Counter("peer_refused_total", "Calls of other nodes that were refused as not run.")
--- a/io/frame/serve.go
+++ b/io/frame/serve.go
@@ -12,36 +12,37 @@
 	"hickoryrail/core/ident"
 )
 
-// helloTimeout bounds the arrival of the first frame of a connection.
+// helloTimeout bounds the wait for the first frame of an accepted connection.
 const helloTimeout = 2 * time.Second
 
-// served is an accepted connection.
-type served struct {
+// acceptedConnection is a connection that a peer dialed.
+type acceptedConnection struct {
 	transport *Transport
 	conn      net.Conn
-	// node is set by the first frame, before the connection is in accepted.
+	// node is the peer's id from the hello frame, which is read before the connection
+	// is added to Transport.accepted.
 	node ident.NodeID
-	// life ends with the connection.
-	life context.Context
+	// ctx ends when the connection ends.
+	ctx context.Context
 
-	// writing serializes frames.
+	// writing serializes the writes of frames.
 	writing sync.Mutex
 
 	// mu guards cancels.
 	mu sync.Mutex
-	// cancels holds a function for each call that runs.
+	// cancels holds the function that ends the handler's ctx for each running call.
 	cancels map[callID]context.CancelFunc
 }
 
-// accept serves the connections of peers until the listener is closed.
+// accept accepts and serves connections of peers until the listener is closed.
 func (t *Transport) accept() {
 	for {
 		conn, err := t.listener.Accept()
 		if err != nil {
-			if t.life.Err() != nil || isClosed(t) {
+			if t.runCtx.Err() != nil || isClosed(t) {
 				return
 			}
-			time.Sleep(drainPoll) // out of descriptors, for example
+			time.Sleep(drainPoll) // for example when no file descriptor is free
 			continue
 		}
 		t.group.Go(func() { t.serve(conn) })
@@ -55,7 +56,7 @@
 	return t.closed
 }
 
-// serve reads the frames of one peer.
+// serve reads and handles the frames of an accepted connection until it ends.
 func (t *Transport) serve(conn net.Conn) {
 	defer conn.Close()
 	b := bufio.NewReaderSize(conn, bufferBytes)
@@ -64,9 +65,9 @@
 	if err != nil || m.kind != kindHello || conn.SetReadDeadline(time.Time{}) != nil {
 		return
 	}
-	life, end := context.WithCancel(t.life)
-	defer end()
-	s := &served{transport: t, conn: conn, node: ident.NodeID(m.payload), life: life, cancels: make(map[callID]context.CancelFunc)}
+	ctx, cancel := context.WithCancel(t.runCtx)
+	defer cancel()
+	s := &acceptedConnection{transport: t, conn: conn, node: ident.NodeID(m.payload), ctx: ctx, cancels: make(map[callID]context.CancelFunc)}
 	t.mu.Lock()
 	if t.closed {
 		t.mu.Unlock()
@@ -88,13 +89,13 @@
 	}
 }
 
-// handle takes one frame.
-func (s *served) handle(m message) {
+// handle processes one received frame.
+func (s *acceptedConnection) handle(m message) {
 	switch m.kind {
 	case kindControl:
-		s.transport.control(s.node, m.payload)
+		s.transport.deliverControl(s.node, m.payload)
 	case kindEcho:
-		_ = s.write(message{kind: kindEchoed, id: m.id}) // the reader notices a lost connection
+		_ = s.write(message{kind: kindEchoed, id: m.id}) // serve's next read reports a lost connection
 	case kindCancel:
 		s.mu.Lock()
 		cancel := s.cancels[m.id]
@@ -107,8 +108,8 @@
 	}
 }
 
-// call starts a call unless the transport drains.
-func (s *served) call(m message) {
+// call starts a call, or refuses it if the transport is draining.
+func (s *acceptedConnection) call(m message) {
 	t := s.transport
 	t.mu.Lock()
 	refuse := t.draining || t.OnCall == nil
@@ -118,11 +119,13 @@
 	t.mu.Unlock()
 	if refuse {
 		t.metrics.refused.Inc()
-		_ = s.write(message{kind: kindRefused, id: m.id}) // a lost connection says less, never something wrong
+		// If the write fails, the caller sees a lost connection and reports MayHaveRun,
+		// which is less precise but not wrong.
+		_ = s.write(message{kind: kindRefused, id: m.id})
 		return
 	}
 	t.metrics.served.Inc()
-	ctx, cancel := context.WithCancel(s.life)
+	ctx, cancel := context.WithCancel(s.ctx)
 	s.mu.Lock()
 	s.cancels[m.id] = cancel
 	s.mu.Unlock()
@@ -138,18 +141,19 @@
 	})
 }
 
-// run calls the handler and writes its answer.
-func (s *served) run(ctx context.Context, m message) {
+// run calls the handler and writes its answer, or a failure if it panics or its answer
+// is too large.
+func (s *acceptedConnection) run(ctx context.Context, m message) {
 	out := message{kind: kindFailed, id: m.id}
 	var answer []byte
 	if panics.Try(func() { answer = s.transport.OnCall(ctx, s.node, m.payload) }) == nil && len(answer) <= s.transport.BodyBytes {
 		out.kind, out.payload = kindAnswer, answer
 	}
-	_ = s.write(out) // the caller of a lost connection asks again
+	_ = s.write(out) // if the connection is lost, the caller retries or voids the call on another one
 }
 
-// write sends one frame.
-func (s *served) write(m message) error {
+// write sends one frame. After an error the connection is closed.
+func (s *acceptedConnection) write(m message) error {
 	body := m.encode()
 	s.writing.Lock()
 	defer s.writing.Unlock()
@@ -163,8 +167,8 @@
 	return err
 }
 
-// acceptedFrom returns a connection that a node dialed, or nil.
-func (t *Transport) acceptedFrom(node ident.NodeID) *served {
+// acceptedFrom returns an open connection that the node dialed, or nil.
+func (t *Transport) acceptedFrom(node ident.NodeID) *acceptedConnection {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for s := range t.accepted {
--- a/io/frame/transport.go
+++ b/io/frame/transport.go
@@ -16,86 +16,90 @@
 )
 
 const (
-	// dialMillis bounds the set-up of a connection. A node that has no power does
-	// not answer, and callers have other targets to try.
+	// dialMillis bounds the setup of a connection. It is short because a node that
+	// lost power does not answer, and callers have other targets to try.
 	dialMillis = 400 * clock.Millis(1)
-	// writeMillis bounds the writing of one frame to a peer that does not read.
+	// writeMillis bounds the write of one frame, for peers that do not read.
 	writeMillis = 2 * clock.Second
-	// redialMillis is the pause after a failed dial, during which calls fail at
-	// once.
+	// redialMillis is the pause after a failed dial, during which calls to the same
+	// address fail immediately.
 	redialMillis = 200 * clock.Millis(1)
-	// drainPoll is the interval at which Drain looks for work in flight.
+	// drainPoll is the interval at which Drain checks for running calls.
 	drainPoll = 5 * time.Millisecond
-	// maxQueued bounds the control messages that wait for one node.
+	// maxQueued bounds the queue of control messages to one node.
 	maxQueued = 64
 )
 
-// Reasons of calls without an answer.
+// Reasons in the errors of calls without an answer.
 const (
-	reasonDial     = "no connection to the node"
-	reasonDraining = "transport is draining"
-	reasonWrite    = "request was not sent whole"
-	reasonLost     = "connection to the node was lost"
-	reasonRefused  = "node refused the call"
-	reasonFailed   = "node's handler failed"
-	reasonGaveUp   = "caller gave up"
-	reasonDeadline = "deadline passed"
-	reasonTooLarge = "request exceeds the limit"
+	reasonDial      = "no connection to the node"
+	reasonDraining  = "transport is draining"
+	reasonWrite     = "request was not sent whole"
+	reasonLost      = "connection to the node was lost"
+	reasonRefused   = "node refused the call"
+	reasonFailed    = "node's handler failed"
+	reasonCancelled = "caller gave up"
+	reasonDeadline  = "deadline passed"
+	reasonTooLarge  = "request exceeds the limit"
 )
 
 type (
-	// Transport connects a node with its peers. Set the exported fields before
-	// Open.
+	// Transport connects a node with its peers. The exported fields must be set
+	// before Open.
 	Transport struct {
 		Self ident.NodeID
 		// Listen is host:port; port 0 chooses a free one.
 		Listen string
-		// OnControl takes a control message; it owns body.
+		// OnControl handles a received control message and owns body; it may be
+		// nil.
 		OnControl func(from ident.NodeID, body []byte)
-		// OnCall returns the answer to a request; it owns body. Its ctx ends when
-		// the caller gives up or the connection is lost.
+		// OnCall returns the answer to a request and owns body. Its ctx ends when
+		// the caller cancels the call or the connection is lost. If it is nil, all
+		// calls are refused.
 		OnCall func(ctx context.Context, from ident.NodeID, body []byte) []byte
-		// OnEvent takes the events of dialed connections; it may be nil and must
+		// OnEvent receives the events of dialed connections; it may be nil and must
 		// not block.
 		OnEvent func(peer.Event)
-		// Registry takes the metrics; nil keeps them private.
+		// Registry registers the transport's metrics; it may be nil.
 		Registry prometheus.Registerer
-		// BodyBytes bounds a request, an answer and a control message.
+		// BodyBytes bounds each request, answer and control message; 0 selects the
+		// default of package peer.
 		BodyBytes int
 
-		listener net.Listener
-		metrics  metrics
-		life     context.Context
-		end      context.CancelFunc
-		group    conc.WaitGroup
+		listener  net.Listener
+		metrics   metrics
+		runCtx    context.Context
+		cancelRun context.CancelFunc
+		group     conc.WaitGroup
 
 		// mu guards what follows.
 		mu sync.Mutex
-		// draining is set once; no call of a peer is started afterwards.
+		// draining is set once; calls of peers are refused afterwards.
 		draining bool
 		closed   bool
-		// running counts the calls of peers whose answer is not written.
+		// running counts the started calls of peers whose answer is not written yet.
 		running int
 		nextID  peer.ConnectionID
 		links   map[ident.NodeID]*link
 		// dialed and accepted hold the open connections.
 		dialed   map[peer.ConnectionID]*connection
-		accepted map[*served]struct{}
+		accepted map[*acceptedConnection]struct{}
 	}
 )
 
-// errClosed reports a transport that was closed.
+// errClosed reports a call on a transport that was closed.
 var errClosed = errors.New("transport is closed")
 
-// Open binds the listener. Calls and control messages can be sent afterwards.
+// Open binds the listener. Calls and control messages can be sent afterwards; those of
+// peers are accepted once Run is called.
 func (t *Transport) Open() error {
 	t.links = make(map[ident.NodeID]*link)
 	t.dialed = make(map[peer.ConnectionID]*connection)
-	t.accepted = make(map[*served]struct{})
+	t.accepted = make(map[*acceptedConnection]struct{})
 	if t.BodyBytes == 0 {
 		t.BodyBytes = peer.DefaultLimits().BodyBytes
 	}
-	if err := t.metrics.open(t.Registry); err != nil {
+	if err := t.metrics.register(t.Registry); err != nil {
 		return err
 	}
 	l, err := net.Listen("tcp", t.Listen)
@@ -103,7 +107,7 @@
 		return err
 	}
 	t.listener = l
-	t.life, t.end = context.WithCancel(context.Background())
+	t.runCtx, t.cancelRun = context.WithCancel(context.Background())
 	return nil
 }
 
@@ -112,7 +116,7 @@
 	return t.listener.Addr().String()
 }
 
-// ControlTraffic returns the bytes of control frames so far.
+// ControlTraffic returns the bytes of control frames sent and received so far.
 func (t *Transport) ControlTraffic() peer.Traffic {
 	return peer.Traffic{
 		Sent:     ident.Bytes(t.metrics.controlSent.Load()),
@@ -131,7 +135,7 @@
 	for _, c := range t.dialed {
 		open = append(open, c)
 	}
-	var accepted []*served
+	var accepted []*acceptedConnection
 	for s := range t.accepted {
 		accepted = append(accepted, s)
 	}
@@ -143,7 +147,7 @@
 	for _, s := range accepted {
 		_ = s.conn.Close()
 	}
-	t.end()
+	t.cancelRun()
 	t.group.Wait()
 	if errors.Is(err, net.ErrClosed) {
 		return nil
@@ -151,8 +155,8 @@
 	return err
 }
 
-// Drain refuses new calls of peers as not run and returns once the running ones
-// are answered, or with the error of ctx.
+// Drain refuses new calls of peers as not run and returns once the running ones are
+// answered. It returns the error of ctx if that ends first.
 func (t *Transport) Drain(ctx context.Context) error {
 	t.mu.Lock()
 	t.draining = true
@@ -174,14 +178,14 @@
 	}
 }
 
-// CloseConnection closes a dialed connection at once. Its calls end as they may
-// have run; new calls use another connection.
+// CloseConnection closes a dialed connection immediately. Its calls end with
+// MayHaveRun; new calls use another connection.
 func (t *Transport) CloseConnection(id peer.ConnectionID) {
 	t.mu.Lock()
 	c := t.dialed[id]
 	t.mu.Unlock()
 	if c != nil {
-		c.fail(errSilent)
+		c.fail(errStalled)
 	}
 }
 
--- a/io/frame/transport_test.go
+++ b/io/frame/transport_test.go
@@ -16,10 +16,10 @@
 	"hickoryrail/io/peer"
 )
 
-// patience bounds a wait for something that must happen.
-const patience = 5 * time.Second
+// testTimeout bounds waits that end much earlier unless there is a fault.
+const testTimeout = 5 * time.Second
 
-// start runs a transport and returns it; it stops with the test.
+// start opens a transport on a free port and runs it until the test ends.
 func start(t *testing.T, tr *Transport) *Transport {
 	t.Helper()
 	tr.Listen = "127.0.0.1:0"
@@ -38,20 +38,20 @@
 	return tr
 }
 
-// bounded returns a context that outlasts everything but a fault.
-func bounded(t *testing.T) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// testContext returns a context that ends after testTimeout.
+func testContext(t *testing.T) context.Context {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// echo answers a call with its own body.
+// echo answers a call with the caller's id and the body of the request.
 func echo(_ context.Context, from ident.NodeID, body []byte) []byte {
 	return append([]byte(from+":"), body...)
 }
 
-// TestCalls guards against answers that reach the wrong call, with many calls on
-// one connection.
+// TestCalls guards against answers that are delivered to the wrong call when many
+// calls share one connection.
 func TestCalls(t *testing.T) {
 	is := is.New(t)
 	server := start(t, &Transport{Self: "b", OnCall: echo})
@@ -60,7 +60,7 @@
 	for i := range 100 {
 		go func() {
 			body := strings.Repeat(string(rune('a'+i%26)), 1+i*997%20000)
-			answer, err := client.Call(bounded(t), "b", server.Address(), []byte(body))
+			answer, err := client.Call(testContext(t), "b", server.Address(), []byte(body))
 			if err == nil && string(answer) != "a:"+body {
 				err = errors.New("answer of another call")
 			}
@@ -73,54 +73,54 @@
 	is.Equal(len(client.dialed), 1)
 }
 
-// TestCancelReachesHandler guards against work that goes on after the caller has
-// given up.
+// TestCancelReachesHandler guards against a handler that continues after its caller
+// has cancelled the call.
 func TestCancelReachesHandler(t *testing.T) {
 	is := is.New(t)
-	entered, left := make(chan struct{}), make(chan struct{})
+	started, ended := make(chan struct{}), make(chan struct{})
 	server := start(t, &Transport{Self: "b", OnCall: func(ctx context.Context, _ ident.NodeID, _ []byte) []byte {
-		close(entered)
+		close(started)
 		<-ctx.Done()
-		close(left)
+		close(ended)
 		return nil
 	}})
 	client := start(t, &Transport{Self: "a"})
-	ctx, cancel := context.WithCancel(bounded(t))
+	ctx, cancel := context.WithCancel(testContext(t))
 	go func() {
-		<-entered
+		<-started
 		cancel()
 	}()
 	_, err := client.Call(ctx, "b", server.Address(), nil)
 	is.Equal(result.Of(err), result.MayHaveRun)
 	select {
-	case <-left:
-	case <-time.After(patience):
+	case <-ended:
+	case <-time.After(testTimeout):
 		t.Fatal("handler was not cancelled")
 	}
 }
 
-// TestDrainRefuses guards against a stop that breaks off a running call or starts
-// a new one, and against a refusal that is not certain.
+// TestDrainRefuses guards against a drain that interrupts a running call, starts a new
+// one, or refuses a call with a verdict other than NotRun.
 func TestDrainRefuses(t *testing.T) {
 	is := is.New(t)
-	entered, release := make(chan struct{}), make(chan struct{})
+	started, release := make(chan struct{}), make(chan struct{})
 	server := start(t, &Transport{Self: "b", OnCall: func(context.Context, ident.NodeID, []byte) []byte {
-		close(entered)
+		close(started)
 		<-release
 		return []byte("done")
 	}})
 	client := start(t, &Transport{Self: "a"})
 	first := make(chan string, 1)
 	go func() {
-		answer, err := client.Call(bounded(t), "b", server.Address(), nil)
+		answer, err := client.Call(testContext(t), "b", server.Address(), nil)
 		if err != nil {
 			answer = []byte(err.Error())
 		}
 		first <- string(answer)
 	}()
-	<-entered
+	<-started
 	drained := make(chan error, 1)
-	go func() { drained <- server.Drain(bounded(t)) }()
+	go func() { drained <- server.Drain(testContext(t)) }()
 	for {
 		server.mu.Lock()
 		draining := server.draining
@@ -130,15 +130,15 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	_, err := client.Call(bounded(t), "b", server.Address(), nil)
+	_, err := client.Call(testContext(t), "b", server.Address(), nil)
 	is.Equal(result.Of(err), result.NotRun)
 	close(release)
 	is.Equal(<-first, "done")
 	is.NoErr(<-drained)
 }
 
-// TestLostConnection guards against a call that is reported as not run although
-// the node had it whole, and against a later call on the dead connection.
+// TestLostConnection guards against a call that is reported as not run although the
+// node received it completely, and against a later call that uses the lost connection.
 func TestLostConnection(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -159,20 +159,21 @@
 	}()
 	client := start(t, &Transport{Self: "a"})
 	for range 2 {
-		_, err = client.Call(bounded(t), "b", l.Addr().String(), []byte("x"))
+		_, err = client.Call(testContext(t), "b", l.Addr().String(), []byte("x"))
 		is.Equal(result.Of(err), result.MayHaveRun)
 	}
 }
 
-// TestNoNode guards against an unknown outcome of a call that was never sent.
+// TestNoNode guards against the verdict MayHaveRun for a call that was never sent
+// because nothing listens at the node's address.
 func TestNoNode(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	is.NoErr(l.Close())
 	client := start(t, &Transport{Self: "a"})
-	for range 2 { // the second one fails without a dial
-		_, err = client.Call(bounded(t), "b", l.Addr().String(), nil)
+	for range 2 { // the second call fails without a dial, in the pause after a failed one
+		_, err = client.Call(testContext(t), "b", l.Addr().String(), nil)
 		is.Equal(result.Of(err), result.NotRun)
 	}
 }
@@ -182,17 +183,17 @@
 func TestControl(t *testing.T) {
 	is := is.New(t)
 	got := make(chan string, 4)
-	take := func(from ident.NodeID, body []byte) { got <- string(from) + ":" + string(body) }
-	a := start(t, &Transport{Self: "a", OnControl: take})
-	b := start(t, &Transport{Self: "b", OnControl: take})
+	receive := func(from ident.NodeID, body []byte) { got <- string(from) + ":" + string(body) }
+	a := start(t, &Transport{Self: "a", OnControl: receive})
+	b := start(t, &Transport{Self: "b", OnControl: receive})
 	a.SendControl("b", b.Address(), []byte("1"))
 	is.Equal(<-got, "a:1")
-	b.SendControl("a", "", []byte("2")) // by the connection that a dialed
+	b.SendControl("a", "", []byte("2")) // on the connection that a dialed
 	is.Equal(<-got, "b:2")
 }
 
-// TestSilentConnection guards against a detector that cannot find or replace a
-// connection that carries nothing any more.
+// TestSilentConnection guards against a connection without any answer that the stall
+// detector cannot find (by events and a failed echo) or close.
 func TestSilentConnection(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -209,7 +210,7 @@
 	client := start(t, &Transport{Self: "a", OnEvent: func(e peer.Event) { events <- e }})
 	failed := make(chan error, 1)
 	go func() {
-		_, err := client.Call(bounded(t), "b", l.Addr().String(), nil)
+		_, err := client.Call(testContext(t), "b", l.Addr().String(), nil)
 		failed <- err
 	}()
 	opened := <-events
@@ -222,7 +223,8 @@
 	is.Equal(result.Of(<-failed), result.MayHaveRun)
 }
 
-// FuzzRead guards against a panic or an oversized frame from strange bytes.
+// FuzzRead guards against a panic and against accepting an oversized frame on arbitrary
+// input.
 func FuzzRead(f *testing.F) {
 	f.Add(message{kind: kindCall, id: 3, payload: []byte("x")}.encode())
 	f.Add([]byte{0, 0, 0, 1, 2, 0, 0, 0, 0})
