--- a/io/peer/bounds_test.go
+++ b/io/peer/bounds_test.go
@@ -12,17 +12,18 @@
 	"hickoryrail/core/result"
 )
 
-// TestOversize guards against bodies above the limit.
+// TestOversize guards against accepting a request or an answer above the limit at
+// either end, and against a limit that refuses a body of the allowed size.
 func TestOversize(t *testing.T) {
 	is := is.New(t)
-	directory := fleet(t)
+	directory := keyDirectory(t)
 	small := func(p *Transport) {
 		p.Limits.BodyBytes = 1000
 		p.OnCall = func(_ context.Context, _ ident.NodeID, body []byte) []byte { return bytes.Repeat(body, 2) }
 	}
 	server := start(t, directory, "b", small)
 	client := start(t, directory, "a", small)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	_, err := client.Call(ctx, "b", server.Address(), make([]byte, 1001))
 	is.Equal(result.Of(err), result.NotRun)
@@ -35,11 +36,11 @@
 	is.NoErr(err)
 }
 
-// TestConnectionsAreBounded guards against unused connections that stay open,
-// connections above the cap, and a long call that the idle timeout ends.
+// TestConnectionsAreBounded guards against unused connections that stay open, more
+// connections than the limit, and an idle timeout that ends a long call.
 func TestConnectionsAreBounded(t *testing.T) {
 	is := is.New(t)
-	directory := fleet(t)
+	directory := keyDirectory(t)
 	serve := func(p *Transport) {
 		p.OnCall = func(_ context.Context, _ ident.NodeID, body []byte) []byte {
 			if string(body) == "long" {
@@ -52,7 +53,7 @@
 	other := start(t, directory, "a", serve)
 	events := make(chan Event, 1024)
 	observe := func(e Event) { events <- e }
-	brief := start(t, directory, "a", func(p *Transport) { p.Limits.IdleMillis, p.OnEvent = 1000, observe })
+	shortIdle := start(t, directory, "a", func(p *Transport) { p.Limits.IdleMillis, p.OnEvent = 1000, observe })
 	capped := start(t, directory, "a", func(p *Transport) { p.Limits.Connections, p.Limits.IdleMillis, p.OnEvent = 1, 600_000, observe })
 	next := func(kind EventKind) ConnectionID {
 		for e := range events {
@@ -62,12 +63,12 @@
 		}
 		return 0
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	_, err := brief.Call(ctx, "b", server.Address(), []byte("long"))
+	_, err := shortIdle.Call(ctx, "b", server.Address(), []byte("long"))
 	is.NoErr(err)
 	is.Equal(next(Opened), next(Closed))
-	_, err = brief.Call(ctx, "b", server.Address(), []byte("x"))
+	_, err = shortIdle.Call(ctx, "b", server.Address(), []byte("x"))
 	is.NoErr(err)
 	is.Equal(next(Opened), next(Closed))
 	_, err = capped.Call(ctx, "b", server.Address(), []byte("x"))
@@ -78,22 +79,22 @@
 	is.Equal(next(Closed), first)
 }
 
-// TestRestartResetsConnections guards against calls that wait for the idle timeout
+// TestRestartResetsConnections guards against calls that hang until the idle timeout
 // after the peer's process was killed and replaced at the same address.
 func TestRestartResetsConnections(t *testing.T) {
 	is := is.New(t)
-	directory := fleet(t)
+	directory := keyDirectory(t)
 	serve := func(p *Transport) {
 		p.OnCall = func(_ context.Context, _ ident.NodeID, body []byte) []byte { return answerTo(body) }
 	}
 	killed := start(t, directory, "b", serve)
 	address := killed.Address()
 	client := start(t, directory, "a", nil)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	_, err := client.Call(ctx, "b", address, nil)
 	is.NoErr(err)
-	is.NoErr(killed.socket.Close()) // like a kill: the peer is told nothing
+	is.NoErr(killed.socket.Close()) // as after a kill, no close frame is sent
 	start(t, directory, "b", func(p *Transport) {
 		serve(p)
 		p.Listen = address
--- a/io/peer/call.go
+++ b/io/peer/call.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	// firstRead is the size of the first buffer for a body; most bodies fit.
-	firstRead = 2 << 10
-	// connectAttempts bounds the connections tried for a call; one can be retired
-	// between its choice and its use.
+	// initialBufferBytes is the size of the first buffer for a body; most bodies fit.
+	initialBufferBytes = 2 << 10
+	// connectAttempts bounds the connections tried for a call; a connection can be
+	// retired after it was chosen and before the call begins.
 	connectAttempts = 2
 )
 
 var (
 	// errTooLarge reports a body above the limit.
 	errTooLarge = errors.New("body exceeds the limit")
-	// errNoConnection reports a connection that is closed.
+	// errNoConnection reports an id for which no connection is open.
 	errNoConnection = errors.New("connection does not exist")
-	// errEcho reports an echo with other content.
-	errEcho = errors.New("echo differs")
+	// errEcho reports an echo reply with other content than the request.
+	errEcho = errors.New("echo reply differs from the request")
 )
 
-// Call sends a request to a node and returns the whole answer. The error is a
+// Call sends a request to a node and returns the complete answer. The error is a
 // *result.Error: NotRun if nothing of the request was sent or the peer refused it
-// before it was run, MayHaveRun otherwise. When ctx ends, the stream is reset and
+// without running it, MayHaveRun otherwise. When ctx ends, the stream is reset and
 // the handler's ctx ends too.
 func (t *Transport) Call(ctx context.Context, to ident.NodeID, address string, body []byte) ([]byte, error) {
 	return t.call(ctx, to, address, body, false)
@@ -50,7 +50,7 @@
 	return answer, err
 }
 
-// attempt connects and sends a request.
+// attempt connects to the node and sends a request.
 func (t *Transport) attempt(ctx context.Context, to ident.NodeID, address string, body []byte, fresh bool) ([]byte, error) {
 	if len(body) > t.Limits.BodyBytes {
 		return nil, result.NewError(result.NotRun, reasonTooLarge, errTooLarge)
@@ -67,8 +67,8 @@
 	return nil, result.NewError(result.NotRun, reasonRetired, nil)
 }
 
-// Echo sends a few bytes on a dialed call connection and returns nil once they
-// have come back. It does not count as a call.
+// Echo sends a few bytes on a dialed call connection and returns nil once the peer has
+// sent them back. It does not count as a call.
 func (t *Transport) Echo(ctx context.Context, id ConnectionID) error {
 	t.mu.Lock()
 	c := t.dialed[id]
@@ -87,8 +87,8 @@
 	return err
 }
 
-// exchange sends a frame on a stream of its own and reads the answer to its end.
-// The caller has called begin.
+// exchange sends a frame on a new stream and reads the answer to its end. The caller
+// must have called c.begin.
 func (t *Transport) exchange(ctx context.Context, c *connection, frame byte, body []byte) ([]byte, error) {
 	defer c.finish()
 	s, err := c.quic.OpenStreamSync(ctx)
@@ -103,35 +103,36 @@
 		t.emit(Sent, c, 0)
 		defer t.emit(Ended, c, 0)
 	}
-	stop := context.AfterFunc(ctx, func() { abandon(s) })
+	stop := context.AfterFunc(ctx, func() { resetStream(s) })
 	defer stop()
 	request := make([]byte, 0, 1+len(body))
 	request = append(append(request, frame), body...)
 	if _, err := s.Write(request); err != nil {
-		abandon(s)
+		resetStream(s)
 		return nil, callError(ctx, err)
 	}
-	// Close fails only for a stream that was reset; the read then fails too.
+	// Close fails only on a stream that was reset; the read then returns the error.
 	_ = s.Close()
 	answer, err := readAll(s, t.Limits.BodyBytes, func(n int) { t.emit(Progress, c, n) })
 	if err != nil {
-		abandon(s)
+		resetStream(s)
 		return nil, callError(ctx, err)
 	}
 	return answer, nil
 }
 
-// abandon resets both directions of a stream; the peer's handler sees its context
-// end.
-func abandon(s *quic.Stream) {
+// resetStream resets both directions of a stream, which ends the ctx of the peer's
+// handler.
+func resetStream(s *quic.Stream) {
 	s.CancelWrite(codeCancelled)
 	s.CancelRead(codeCancelled)
 }
 
-// readAll reads up to limit bytes until the end of the stream and reports
-// progress. A reset or lost connection is an error, never a short body.
+// readAll reads up to limit bytes until the end of the stream and passes the size of
+// each read to progress. A reset stream or lost connection gives an error, never a
+// truncated body.
 func readAll(r io.Reader, limit int, progress func(int)) ([]byte, error) {
-	body := make([]byte, 0, min(limit+1, firstRead))
+	body := make([]byte, 0, min(limit+1, initialBufferBytes))
 	for {
 		if len(body) == cap(body) {
 			body = slices.Grow(body, len(body))
@@ -153,7 +154,8 @@
 	}
 }
 
-// callError returns the verdict on a request of which some bytes were sent.
+// callError returns the error, with its verdict, of a call for which some bytes may have
+// been sent.
 func callError(ctx context.Context, err error) *result.Error {
 	var stream *quic.StreamError
 	var application *quic.ApplicationError
@@ -163,8 +165,8 @@
 		errors.As(err, &application) && application.Remote && application.ErrorCode == codeNotRun:
 		return result.NewError(result.NotRun, reasonRefused, err)
 	case errors.As(err, &transport) && transport.ErrorCode.IsCryptoError():
-		// The peer refused the certificate. The dialing side ends its handshake
-		// first, but the peer accepts no stream before its own has ended.
+		// The peer rejected the certificate. The dialing side completes its handshake
+		// first, but the peer accepts no stream before its own side is complete.
 		return result.NewError(result.NotRun, reasonDial, err)
 	case ctx.Err() != nil:
 		return contextError(ctx, result.MayHaveRun)
--- a/io/peer/connection.go
+++ b/io/peer/connection.go
@@ -22,23 +22,25 @@
 		node ident.NodeID
 		// id is 0 unless the connection is a dialed call connection.
 		id ConnectionID
-		// control tells the two protocols apart.
+		// control is set if the connection carries control messages, not calls.
 		control bool
-		// release frees the socket of a dialed connection.
+		// release closes the socket of a dialed connection.
 		release func()
 
+		// mu guards what follows.
 		mu sync.Mutex
 		// outstanding counts the calls of this node on the connection.
 		outstanding int
-		// retired is set once; no call begins afterwards.
+		// retired is set once; no call of this node begins afterwards.
 		retired bool
-		// served is set once a call of the peer was started.
+		// served is set once a call of the peer was started on the connection.
 		served bool
-		// used is the time of the last begin or end of a call.
-		used time.Time
+		// lastUsed is the time of the last begin or end of a call.
+		lastUsed time.Time
 	}
 
-	// link is the dial of a connection, which several calls can wait for.
+	// link is the call connection to a node, or the dial of one, for which several
+	// calls can wait.
 	link struct {
 		address string
 		// done is closed when c or err is set.
@@ -48,7 +50,7 @@
 	}
 )
 
-// Reasons of errors; the proxy and the metrics use them as they are.
+// Reasons in the errors of calls; the proxy and the metrics use them unchanged.
 const (
 	reasonDial      = "peer unreachable"
 	reasonClosed    = "transport closed"
@@ -63,7 +65,7 @@
 	reasonDeadline  = "deadline exceeded"
 )
 
-// begin counts a new call, unless the connection is retired.
+// begin counts a new call. It returns false if the connection is retired.
 func (c *connection) begin() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -71,15 +73,15 @@
 		return false
 	}
 	c.outstanding++
-	c.used = time.Now()
+	c.lastUsed = time.Now()
 	return true
 }
 
-// finish counts the end of a call and closes a retired connection after its last.
+// finish counts the end of a call and closes a retired connection after its last call.
 func (c *connection) finish() {
 	c.mu.Lock()
 	c.outstanding--
-	c.used = time.Now()
+	c.lastUsed = time.Now()
 	last := c.retired && c.outstanding == 0
 	c.mu.Unlock()
 	if last {
@@ -94,18 +96,19 @@
 	if c.outstanding > 0 {
 		return 0
 	}
-	return time.Since(c.used)
+	return time.Since(c.lastUsed)
 }
 
-// alive reports whether new calls can begin on the connection.
-func (c *connection) alive() bool {
+// usable reports whether new calls can begin on the connection.
+func (c *connection) usable() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.retired && c.quic.Context().Err() == nil
 }
 
-// closeCode returns the code that tells the peer as much as is certain. It must
-// be called when no further call can start.
+// closeCode returns codeNotRun if no call of the peer was started on the connection,
+// which makes the verdict of its calls certain, and codeClosed otherwise. It must be
+// called when no further call can start.
 func (c *connection) closeCode() quic.ApplicationErrorCode {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -115,12 +118,12 @@
 	return codeNotRun
 }
 
-// close closes the connection at once.
+// close closes the connection immediately.
 func (c *connection) close(code quic.ApplicationErrorCode, reason string) {
 	_ = c.quic.CloseWithError(code, reason)
 }
 
-// retire takes a connection out of use; it is closed after its last call.
+// retire excludes a connection from new calls and closes it after its last call.
 func (t *Transport) retire(c *connection) {
 	t.forget(c)
 	c.mu.Lock()
@@ -132,7 +135,7 @@
 	}
 }
 
-// forget removes the connection's link, so that new calls dial.
+// forget removes the connection's link, so that the next call dials a new one.
 func (t *Transport) forget(c *connection) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -141,8 +144,9 @@
 	}
 }
 
-// CloseConnection closes a dialed call connection at once, for example because it
-// went silent. Its calls end with MayHaveRun; new calls use another connection.
+// CloseConnection closes a dialed call connection immediately, for example because the
+// stall detector found it silent. Its calls end with MayHaveRun; new calls use another
+// connection.
 func (t *Transport) CloseConnection(id ConnectionID) {
 	t.mu.Lock()
 	c := t.dialed[id]
@@ -157,8 +161,8 @@
 	c.close(codeCancelled, "closed by stall detector")
 }
 
-// connect returns a call connection to the node. With fresh set it is one whose
-// handshake had not ended before.
+// connect returns a call connection to the node. If fresh is set, it is one whose
+// handshake completes after connect was called.
 func (t *Transport) connect(ctx context.Context, to ident.NodeID, address string, fresh bool) (*connection, error) {
 	l, err := t.link(to, address, fresh)
 	if err != nil {
@@ -175,20 +179,20 @@
 	return l.c, nil
 }
 
-// link returns the node's link and starts a dial if there is no usable one.
+// link returns the node's link. If there is no usable one, it starts a dial.
 func (t *Transport) link(to ident.NodeID, address string, fresh bool) (*link, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.life == nil || t.closed {
+	if t.runCtx == nil || t.closed {
 		return nil, result.NewError(result.NotRun, reasonClosed, errClosed)
 	}
 	if l := t.links[to]; l != nil && l.address == address {
 		dialing := l.c == nil
-		if dialing || !fresh && l.c.alive() {
+		if dialing || !fresh && l.c.usable() {
 			return l, nil
 		}
 	}
-	if len(t.dialed) >= t.Limits.Connections && !t.makeRoom() {
+	if len(t.dialed) >= t.Limits.Connections && !t.evictIdle() {
 		return nil, result.NewError(result.NotRun, reasonCap, nil)
 	}
 	l := &link{address: address, done: make(chan struct{})}
@@ -197,9 +201,9 @@
 	return l, nil
 }
 
-// makeRoom retires the connection that has been idle for longest. The caller
-// holds the lock.
-func (t *Transport) makeRoom() bool {
+// evictIdle retires the dialed connection that has been idle for longest. It returns
+// false if none is idle. The caller holds t.mu.
+func (t *Transport) evictIdle() bool {
 	var oldest *connection
 	var longest time.Duration
 	for _, c := range t.dialed {
@@ -215,7 +219,8 @@
 	return true
 }
 
-// dialLink dials a call connection and publishes the outcome.
+// dialLink dials a call connection and passes the outcome to the calls that wait for
+// the link.
 func (t *Transport) dialLink(l *link, to ident.NodeID) {
 	c, err := t.dial(to, l.address, callProtocol)
 	t.mu.Lock()
@@ -226,7 +231,7 @@
 	if err == nil {
 		t.nextID++
 		c.id = t.nextID
-		c.used = time.Now()
+		c.lastUsed = time.Now()
 		t.dialed[c.id] = c
 	} else if t.links[to] == l {
 		delete(t.links, to)
@@ -241,7 +246,7 @@
 	close(l.done)
 }
 
-// awaitClose removes a dialed connection once it is closed.
+// awaitClose removes a dialed connection and closes its socket once it is closed.
 func (t *Transport) awaitClose(c *connection) {
 	<-c.quic.Context().Done()
 	t.forget(c)
@@ -252,15 +257,16 @@
 	t.emit(Closed, c, 0)
 }
 
-// awaitGoAway retires the connection when the peer begins to drain.
+// awaitGoAway retires the connection when the peer opens a unidirectional stream, by
+// which it reports that it drains.
 func (t *Transport) awaitGoAway(c *connection) {
-	if _, err := c.quic.AcceptUniStream(t.life); err == nil {
+	if _, err := c.quic.AcceptUniStream(t.runCtx); err == nil {
 		t.retire(c)
 	}
 }
 
-// dial opens a connection from a socket of its own: a path that drops the packets
-// of one pair of ports must not affect the next connection.
+// dial opens a connection from a new socket: if the network drops the packets between
+// one pair of ports, the next connection is not affected.
 func (t *Transport) dial(to ident.NodeID, address, protocol string) (*connection, error) {
 	t.metrics.dials.Inc()
 	c, err := t.handshake(to, address, protocol)
@@ -271,7 +277,7 @@
 	return c, nil
 }
 
-// handshake binds a socket and sets up a connection.
+// handshake binds a socket and sets up a connection from it.
 func (t *Transport) handshake(to ident.NodeID, address, protocol string) (*connection, error) {
 	remote, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
@@ -284,11 +290,11 @@
 	}
 	transport := &quic.Transport{Conn: socket}
 	release := func() { _ = errors.Join(transport.Close(), socket.Close()) }
-	ctx, cancel := context.WithTimeout(t.life, t.Limits.HandshakeMillis.Duration())
+	ctx, cancel := context.WithTimeout(t.runCtx, t.Limits.HandshakeMillis.Duration())
 	defer cancel()
 	keepAlive := time.Duration(0)
 	if protocol == callProtocol {
-		keepAlive = t.Limits.IdleMillis.Duration() / keepAliveShare
+		keepAlive = t.Limits.IdleMillis.Duration() / keepAliveDivisor
 	}
 	conn, err := transport.Dial(ctx, remote, t.clientTLS(to, protocol), t.config(keepAlive))
 	if err != nil {
@@ -298,10 +304,10 @@
 	return &connection{quic: conn, node: to, control: protocol == controlProtocol, release: release}, nil
 }
 
-// accept takes connections from peers until the listener closes.
+// accept accepts connections of peers until the listener is closed.
 func (t *Transport) accept() {
 	for {
-		conn, err := t.listener.Accept(t.life)
+		conn, err := t.listener.Accept(t.runCtx)
 		if err != nil {
 			return
 		}
@@ -312,14 +318,14 @@
 			continue
 		}
 		c := &connection{
-			quic: conn, node: node, used: time.Now(),
+			quic: conn, node: node, lastUsed: time.Now(),
 			control: state.NegotiatedProtocol == controlProtocol,
 		}
 		t.group.Go(func() { t.serve(c) })
 	}
 }
 
-// serve handles an accepted connection until it closes.
+// serve handles an accepted connection until it is closed.
 func (t *Transport) serve(c *connection) {
 	t.mu.Lock()
 	if t.closed {
@@ -334,9 +340,9 @@
 	draining := t.draining
 	t.mu.Unlock()
 	if c.control {
-		t.metrics.follow(c)
+		t.metrics.track(c)
 		t.receiveControl(c)
-		t.metrics.settle(c)
+		t.metrics.untrack(c)
 	} else {
 		if draining {
 			t.goAway(c)
@@ -351,7 +357,7 @@
 	t.mu.Unlock()
 }
 
-// contextError returns the error of an ended context.
+// contextError returns the error, with verdict v, of a call whose ctx has ended.
 func contextError(ctx context.Context, v result.Verdict) *result.Error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return result.NewError(v, reasonDeadline, ctx.Err())
--- a/io/peer/control.go
+++ b/io/peer/control.go
@@ -13,37 +13,38 @@
 const (
 	// controlTimeout bounds the sending and the receipt of one control message.
 	controlTimeout = 5 * time.Second
-	// redialDelay is the pause after a failed dial of a control connection.
+	// redialDelay is the pause of a sender after a failed dial of a control connection.
 	redialDelay = 500 * time.Millisecond
 )
 
 type (
-	// parcel is a control message on its way to an address.
-	parcel struct {
+	// outgoing is a control message to be sent to an address.
+	outgoing struct {
 		address string
 		body    []byte
 	}
 
-	// sender owns the queue of control messages for one node. Its other fields
-	// belong to its goroutine.
+	// sender sends control messages to one node. The fields after queue are used by
+	// its goroutine only.
 	sender struct {
 		to    ident.NodeID
-		queue chan parcel
-		// own is the connection dialed last, or nil, and address its address.
-		own     *connection
+		queue chan outgoing
+		// dialed is the last connection that the sender dialed, or nil, and address
+		// the address to which it was dialed.
+		dialed  *connection
 		address string
-		// watched is the connection used last. heard is the number of packets
-		// that it had received, and since the time of the first message after
-		// that.
-		watched *connection
-		heard   uint64
-		since   time.Time
+		// observed is the connection of the last message and packetsReceived the
+		// number of packets that it had received by then. silentSince is the time
+		// of the first message with this number.
+		observed        *connection
+		packetsReceived uint64
+		silentSince     time.Time
 	}
 )
 
 // SendControl queues a control message. It never blocks; a message that does not
 // fit in the queue is dropped and counted. With an empty address it is sent only
-// if there is a connection. It owns body.
+// if a control connection is open. SendControl takes ownership of body.
 func (t *Transport) SendControl(to ident.NodeID, address string, body []byte) {
 	if len(body) > t.Limits.ControlBytes {
 		t.metrics.dropped.Inc()
@@ -51,7 +52,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.life == nil || t.closed {
+	if t.runCtx == nil || t.closed {
 		return
 	}
 	s := t.senders[to]
@@ -60,32 +61,32 @@
 			t.metrics.dropped.Inc()
 			return
 		}
-		s = &sender{to: to, queue: make(chan parcel, t.Limits.ControlQueue)}
+		s = &sender{to: to, queue: make(chan outgoing, t.Limits.ControlQueue)}
 		t.senders[to] = s
 		t.group.Go(func() { t.runSender(s) })
 	}
 	select {
-	case s.queue <- parcel{address: address, body: body}:
+	case s.queue <- outgoing{address: address, body: body}:
 	default:
 		t.metrics.dropped.Inc()
 	}
 }
 
-// runSender sends queued messages until the queue was empty for the idle time.
+// runSender sends queued messages until the queue has been empty for the idle timeout.
 func (t *Transport) runSender(s *sender) {
 	idle := time.NewTimer(t.Limits.IdleMillis.Duration())
 	defer idle.Stop()
 	for {
 		select {
-		case <-t.life.Done():
-			t.dropOwn(s)
+		case <-t.runCtx.Done():
+			t.closeDialed(s)
 			return
-		case p := <-s.queue:
-			t.deliver(s, p)
+		case out := <-s.queue:
+			t.send(s, out)
 			idle.Reset(t.Limits.IdleMillis.Duration())
 		case <-idle.C:
 			if t.removeSender(s) {
-				t.dropOwn(s)
+				t.closeDialed(s)
 				return
 			}
 			idle.Reset(t.Limits.IdleMillis.Duration())
@@ -93,7 +94,8 @@
 	}
 }
 
-// removeSender removes a sender unless a message was queued meanwhile.
+// removeSender removes a sender and returns true, unless a message was queued
+// meanwhile.
 func (t *Transport) removeSender(s *sender) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -104,14 +106,14 @@
 	return true
 }
 
-// deliver sends one message, or drops it: the state machines above repeat what
-// matters.
-func (t *Transport) deliver(s *sender, p parcel) {
-	c := t.controlConnection(s, p.address)
-	if c != nil && !t.watch(s, c) {
-		c = t.controlConnection(s, p.address)
+// send sends one message. A message that cannot be sent is dropped: the membership and
+// distribution protocols, which use the transport, send again what they still need.
+func (t *Transport) send(s *sender, out outgoing) {
+	c := t.controlConnection(s, out.address)
+	if c != nil && !t.checkProgress(s, c) {
+		c = t.controlConnection(s, out.address)
 	}
-	if c == nil && p.address == "" {
+	if c == nil && out.address == "" {
 		t.metrics.dropped.Inc()
 		return
 	}
@@ -119,7 +121,7 @@
 		t.dropQueue(s)
 		return
 	}
-	ctx, cancel := context.WithTimeout(t.life, controlTimeout)
+	ctx, cancel := context.WithTimeout(t.runCtx, controlTimeout)
 	defer cancel()
 	stream, err := c.quic.OpenUniStreamSync(ctx)
 	if err != nil {
@@ -128,24 +130,24 @@
 	}
 	stop := context.AfterFunc(ctx, func() { stream.CancelWrite(codeCancelled) })
 	defer stop()
-	if _, err := stream.Write(p.body); err != nil {
+	if _, err := stream.Write(out.body); err != nil {
 		t.metrics.dropped.Inc()
 		return
 	}
 	_ = stream.Close()
 	t.metrics.controlSent.Inc()
-	t.metrics.controlSentBytes.Add(float64(len(p.body)))
+	t.metrics.controlSentBytes.Add(float64(len(out.body)))
 }
 
-// watch closes a connection that has received no packet, not even an
-// acknowledgement, for the stall time in which messages were sent. It returns
-// false if it closed the connection.
-func (t *Transport) watch(s *sender, c *connection) bool {
-	heard := c.quic.ConnectionStats().PacketsReceived
+// checkProgress closes a connection that has received no packet, not even an
+// acknowledgement, for ControlStallMillis although messages were sent on it. It
+// returns false if it closed the connection.
+func (t *Transport) checkProgress(s *sender, c *connection) bool {
+	received := c.quic.ConnectionStats().PacketsReceived
 	switch {
-	case s.watched != c || s.heard != heard:
-		s.watched, s.heard, s.since = c, heard, time.Now()
-	case time.Since(s.since) > t.Limits.ControlStallMillis.Duration():
+	case s.observed != c || s.packetsReceived != received:
+		s.observed, s.packetsReceived, s.silentSince = c, received, time.Now()
+	case time.Since(s.silentSince) > t.Limits.ControlStallMillis.Duration():
 		t.metrics.stalled.Inc()
 		c.close(codeCancelled, "silent")
 		return false
@@ -153,14 +155,15 @@
 	return true
 }
 
-// controlConnection returns a live control connection: the one dialed before, one
-// that the peer dialed, or a new one. It returns nil if the dial fails.
+// controlConnection returns an open control connection: the one that the sender dialed
+// before, one that the peer dialed, or a new one. It returns nil if the dial fails or
+// address is empty and no connection is open.
 func (t *Transport) controlConnection(s *sender, address string) *connection {
-	if s.own != nil && (s.own.quic.Context().Err() != nil || s.address != address && address != "") {
-		t.dropOwn(s)
+	if s.dialed != nil && (s.dialed.quic.Context().Err() != nil || s.address != address && address != "") {
+		t.closeDialed(s)
 	}
-	if s.own != nil {
-		return s.own
+	if s.dialed != nil {
+		return s.dialed
 	}
 	t.mu.Lock()
 	c := t.inbound[s.to]
@@ -175,30 +178,30 @@
 	if err != nil {
 		return nil
 	}
-	s.own, s.address = c, address
-	t.metrics.follow(c)
+	s.dialed, s.address = c, address
+	t.metrics.track(c)
 	t.group.Go(func() {
 		t.receiveControl(c)
-		t.metrics.settle(c)
+		t.metrics.untrack(c)
 		c.release()
 	})
 	return c
 }
 
-// dropOwn closes the connection that the sender dialed.
-func (t *Transport) dropOwn(s *sender) {
-	if s.own != nil {
-		s.own.close(codeClosed, "unused")
-		s.own = nil
+// closeDialed closes the connection that the sender dialed.
+func (t *Transport) closeDialed(s *sender) {
+	if s.dialed != nil {
+		s.dialed.close(codeClosed, "unused")
+		s.dialed = nil
 	}
 }
 
-// dropQueue drops what was queued for an unreachable node and pauses, so that its
-// messages do not cause a dial each.
+// dropQueue waits for redialDelay and drops the messages queued for an unreachable
+// node, so that they do not cause a dial each.
 func (t *Transport) dropQueue(s *sender) {
 	t.metrics.dropped.Inc()
 	select {
-	case <-t.life.Done():
+	case <-t.runCtx.Done():
 	case <-time.After(redialDelay):
 	}
 	for {
@@ -211,10 +214,10 @@
 	}
 }
 
-// receiveControl takes control messages from a connection until it closes.
+// receiveControl receives control messages from a connection until it is closed.
 func (t *Transport) receiveControl(c *connection) {
 	for {
-		stream, err := c.quic.AcceptUniStream(t.life)
+		stream, err := c.quic.AcceptUniStream(t.runCtx)
 		if err != nil {
 			<-c.quic.Context().Done()
 			return
@@ -223,7 +226,7 @@
 	}
 }
 
-// receiveMessage reads one control message and passes it on.
+// receiveMessage reads one control message and passes it to OnControl.
 func (t *Transport) receiveMessage(c *connection, stream *quic.ReceiveStream) {
 	if err := stream.SetReadDeadline(time.Now().Add(controlTimeout)); err != nil {
 		return
--- a/io/peer/event.go
+++ b/io/peer/event.go
@@ -5,25 +5,26 @@
 const (
 	// Opened means that a call connection was dialed.
 	Opened EventKind = iota
-	// Sent means that a request is being sent on the connection.
+	// Sent means that the sending of a request on the connection has begun.
 	Sent
 	// Progress means that bytes of an answer arrived on the connection.
 	Progress
-	// Ended means that a call ended, in whatever way. Each Sent has one Ended,
-	// which can come after Closed.
+	// Ended means that a call ended, with or without an answer. Each Sent is followed
+	// by one Ended, which can come after Closed.
 	Ended
 	// Closed means that the connection is closed and will not be used again.
 	Closed
 )
 
 type (
-	// ConnectionID names a dialed call connection; it is never used twice.
+	// ConnectionID identifies a dialed call connection of a transport; it is never
+	// reused.
 	ConnectionID uint64
 
-	// EventKind says what happened to a call connection.
+	// EventKind is the type of an Event.
 	EventKind uint8
 
-	// Event tells a stall detector what happened on a dialed call connection.
+	// Event reports a change of a dialed call connection, for a stall detector.
 	Event struct {
 		Kind       EventKind
 		Connection ConnectionID
--- a/io/peer/limits.go
+++ b/io/peer/limits.go
@@ -2,7 +2,8 @@
 
 import "hickoryrail/core/clock"
 
-// Limits bounds what a transport holds. A field that is 0 takes its default.
+// Limits bounds the resources and waits of a transport. A field that is 0 is replaced
+// by its default.
 type Limits struct {
 	// BodyBytes bounds the body of one request and of one answer.
 	BodyBytes int
@@ -16,18 +17,18 @@
 	ControlPeers int
 	// ControlQueue bounds the queued control messages per peer.
 	ControlQueue int
-	// HandshakeMillis bounds the set-up of a connection.
+	// HandshakeMillis bounds the setup of a connection.
 	HandshakeMillis clock.Millis
 	// IdleMillis is the time after which an unused connection is closed, and
-	// after which a connection without any incoming packet is given up.
+	// after which a connection without any incoming packet is considered lost.
 	IdleMillis clock.Millis
 	// ControlStallMillis is the time without any incoming packet after which a
-	// control connection in use is replaced. It must be below the time that the
-	// membership waits before it suspects a node.
+	// control connection in use is replaced. It must be shorter than the time
+	// after which the membership protocol suspects a node.
 	ControlStallMillis clock.Millis
 }
 
-// DefaultLimits returns the defaults.
+// DefaultLimits returns the limits that replace fields that are 0.
 func DefaultLimits() Limits {
 	return Limits{
 		BodyBytes:          1<<20 + 1<<16,
@@ -42,24 +43,24 @@
 	}
 }
 
-// filled returns l with defaults in place of zero fields.
-func (l Limits) filled() Limits {
+// withDefaults returns l with defaults in place of zero fields.
+func (l Limits) withDefaults() Limits {
 	d := DefaultLimits()
-	fill(&l.BodyBytes, d.BodyBytes)
-	fill(&l.ControlBytes, d.ControlBytes)
-	fill(&l.Connections, d.Connections)
-	fill(&l.Streams, d.Streams)
-	fill(&l.ControlPeers, d.ControlPeers)
-	fill(&l.ControlQueue, d.ControlQueue)
-	fill(&l.HandshakeMillis, d.HandshakeMillis)
-	fill(&l.IdleMillis, d.IdleMillis)
-	fill(&l.ControlStallMillis, d.ControlStallMillis)
+	setDefault(&l.BodyBytes, d.BodyBytes)
+	setDefault(&l.ControlBytes, d.ControlBytes)
+	setDefault(&l.Connections, d.Connections)
+	setDefault(&l.Streams, d.Streams)
+	setDefault(&l.ControlPeers, d.ControlPeers)
+	setDefault(&l.ControlQueue, d.ControlQueue)
+	setDefault(&l.HandshakeMillis, d.HandshakeMillis)
+	setDefault(&l.IdleMillis, d.IdleMillis)
+	setDefault(&l.ControlStallMillis, d.ControlStallMillis)
 	return l
 }
 
-// fill sets a zero value to its default.
-func fill[T int | clock.Millis](value *T, other T) {
+// setDefault sets a zero value to its default.
+func setDefault[T int | clock.Millis](value *T, defaultValue T) {
 	if *value == 0 {
-		*value = other
+		*value = defaultValue
 	}
 }
--- a/io/peer/metrics.go
+++ b/io/peer/metrics.go
@@ -13,12 +13,13 @@
 const packetOverhead = 28
 
 type (
-	// Traffic counts what control connections carried.
+	// Traffic is the number of bytes sent and received on control connections.
 	Traffic struct {
 		Sent, Received ident.Bytes
 	}
 
-	// metrics holds the transport's counters.
+	// metrics holds the transport's counters. mu guards open, the control connections
+	// that are open, and closedTraffic, the traffic of those that were closed.
 	metrics struct {
 		dials, dialFailures, served, refused, panics prometheus.Counter
 		dropped, discarded, stalled                  prometheus.Counter
@@ -27,29 +28,29 @@
 		calls                                        *prometheus.CounterVec
 		mu                                           sync.Mutex
 		open                                         map[*connection]struct{}
-		settled                                      Traffic
+		closedTraffic                                Traffic
 	}
 )
 
-// ControlTraffic returns the bytes in UDP packets of all control connections so
-// far, with the UDP and IPv4 headers.
+// ControlTraffic returns the bytes in UDP packets of all control connections so far,
+// including the UDP and IPv4 headers.
 func (t *Transport) ControlTraffic() Traffic {
 	m := &t.metrics
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	sum := m.settled
+	sum := m.closedTraffic
 	for c := range m.open {
-		sum = sum.plus(trafficOf(c))
+		sum = sum.add(trafficOf(c))
 	}
 	return sum
 }
 
-// plus returns the sum of two counts.
-func (a Traffic) plus(b Traffic) Traffic {
+// add returns the sum of a and b.
+func (a Traffic) add(b Traffic) Traffic {
 	return Traffic{Sent: a.Sent + b.Sent, Received: a.Received + b.Received}
 }
 
-// trafficOf returns the bytes of one connection.
+// trafficOf returns the traffic of one connection, including the packet headers.
 func trafficOf(c *connection) Traffic {
 	s := c.quic.ConnectionStats()
 	return Traffic{
@@ -58,22 +59,23 @@
 	}
 }
 
-// follow includes a control connection in the byte counts.
-func (m *metrics) follow(c *connection) {
+// track includes an open control connection in the traffic.
+func (m *metrics) track(c *connection) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.open[c] = struct{}{}
 }
 
-// settle keeps the byte counts of a connection that closed.
-func (m *metrics) settle(c *connection) {
+// untrack replaces a control connection that closed by its final traffic.
+func (m *metrics) untrack(c *connection) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.open, c)
-	m.settled = m.settled.plus(trafficOf(c))
+	m.closedTraffic = m.closedTraffic.add(trafficOf(c))
 }
 
-// register creates the counters and registers them unless there is no registry.
+// register creates the counters and registers them with the transport's registry, if
+// there is one.
 func (m *metrics) register(t *Transport) error {
 	m.open = make(map[*connection]struct{})
 	m.dials = stats.Counter("peer_dials_total", "Connections that were dialed.")
--- a/io/peer/serve.go
+++ b/io/peer/serve.go
@@ -10,21 +10,22 @@
 )
 
 const (
-	// drainPoll is the interval at which Drain looks for work in flight.
+	// drainPoll is the interval at which Drain checks for running calls and queued
+	// control messages.
 	drainPoll = 5 * time.Millisecond
-	// flushDelay lets the last control messages, such as a leave, go out and be
-	// repeated once before the connections close.
+	// flushDelay is enough time for the last control messages, such as a leave, to be
+	// sent and retransmitted once before the connections close.
 	flushDelay = 100 * time.Millisecond
 	// drainSilence is the time without a packet after which Drain no longer waits
-	// for a caller. Callers give up a silent connection after 2 s by default, so
-	// their calls on it have ended.
+	// for a caller. Callers close a silent connection after 2 s by default, so their
+	// calls on it have ended by then.
 	drainSilence = 3 * time.Second
 )
 
-// serveCalls takes the streams of an accepted call connection.
+// serveCalls serves the streams of an accepted call connection until it is closed.
 func (t *Transport) serveCalls(c *connection) {
 	for {
-		s, err := c.quic.AcceptStream(t.life)
+		s, err := c.quic.AcceptStream(t.runCtx)
 		if err != nil {
 			return
 		}
@@ -32,7 +33,7 @@
 	}
 }
 
-// serveStream reads one request and writes its answer.
+// serveStream reads one call or echo and answers it.
 func (t *Transport) serveStream(c *connection, s *quic.Stream) {
 	request, err := readAll(s, 1+t.Limits.BodyBytes, func(int) {})
 	if err != nil || len(request) == 0 {
@@ -49,7 +50,7 @@
 	}
 }
 
-// serveCall runs one request unless the transport drains.
+// serveCall runs one request, or refuses it if the transport is draining.
 func (t *Transport) serveCall(c *connection, s *quic.Stream, body []byte) {
 	if t.OnCall == nil || !t.start(c) {
 		t.metrics.refused.Inc()
@@ -67,7 +68,7 @@
 	t.answer(s, answer)
 }
 
-// answer writes the whole answer, or resets the stream.
+// answer writes the complete answer, or resets the stream.
 func (t *Transport) answer(s *quic.Stream, body []byte) {
 	if len(body) > t.Limits.BodyBytes {
 		s.CancelWrite(codeFailed)
@@ -80,14 +81,14 @@
 	_ = s.Close()
 }
 
-// refuse tells the caller that its request was not run.
+// refuse resets the stream with the code for a request that was not run.
 func refuse(s *quic.Stream) {
 	s.CancelWrite(codeNotRun)
 	s.CancelRead(codeNotRun)
 }
 
-// start counts a call that is about to run. It returns false once the transport
-// drains.
+// start counts a call that is about to run. It returns false if the transport is
+// draining.
 func (t *Transport) start(c *connection) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -101,17 +102,17 @@
 	return true
 }
 
-// finish counts a call whose answer was written.
+// finish counts the end of a call whose answer was written or whose stream was reset.
 func (t *Transport) finish() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.running--
 }
 
-// Drain refuses new calls of peers as not run and returns once every call that
-// was running has been answered and its caller has closed the connection, which
-// proves that the answer arrived, or went silent, and once the queued control
-// messages were sent. It returns the error of ctx if that ends first.
+// Drain refuses new calls of peers as not run. It returns once the running calls have
+// been answered, the queued control messages were sent, and each caller has closed its
+// connection, which proves that the answers arrived, or has been silent for
+// drainSilence. It returns the error of ctx if that ends first.
 func (t *Transport) Drain(ctx context.Context) error {
 	t.mu.Lock()
 	t.draining = true
@@ -143,13 +144,13 @@
 	}
 }
 
-// awaitEnd returns once the caller has closed a connection whose calls are all
-// answered, or has been silent: it would acknowledge the request to go away, which
-// is repeated until then.
+// awaitEnd returns once the caller has closed a connection whose calls are all answered,
+// or has been silent for drainSilence. A caller that can be reached is not silent: it
+// acknowledges the request to go away, which QUIC retransmits until then.
 func awaitEnd(ctx context.Context, c *connection) error {
 	ticker := time.NewTicker(drainSilence)
 	defer ticker.Stop()
-	for heard := c.quic.ConnectionStats().PacketsReceived; ; {
+	for received := c.quic.ConnectionStats().PacketsReceived; ; {
 		select {
 		case <-c.quic.Context().Done():
 			return nil
@@ -158,14 +159,14 @@
 		case <-ticker.C:
 		}
 		n := c.quic.ConnectionStats().PacketsReceived
-		if n == heard {
+		if n == received {
 			return nil
 		}
-		heard = n
+		received = n
 	}
 }
 
-// awaitIdle returns once no call runs and no control message is queued.
+// awaitIdle returns once no call of a peer is running and no control message is queued.
 func (t *Transport) awaitIdle(ctx context.Context) error {
 	ticker := time.NewTicker(drainPoll)
 	defer ticker.Stop()
@@ -187,14 +188,15 @@
 	}
 }
 
-// goAway asks the caller to begin no further call on the connection and to close
-// it after its last one.
+// goAway asks the caller to begin no further call on the connection and to close it
+// after its last call.
 func (t *Transport) goAway(c *connection) {
 	s, err := c.quic.OpenUniStream()
 	if err != nil {
 		return
 	}
-	// The peer acts on the stream itself; content and errors do not matter.
+	// The peer reacts to the opening of the stream; its content and write errors do not
+	// matter.
 	_, _ = s.Write([]byte{0})
 	_ = s.Close()
 }
--- a/io/peer/transport.go
+++ b/io/peer/transport.go
@@ -22,51 +22,55 @@
 
 const (
 	// controlProtocol and callProtocol are the ALPN names of the two kinds of
-	// connections. They are separate so that a large answer never delays a probe.
+	// connections, which are separate so that a large answer never delays a probe.
 	controlProtocol = "hickoryrail-control/1"
 	callProtocol    = "hickoryrail-call/1"
 
-	// frameCall and frameEcho are the first byte of a stream opened by a caller.
+	// frameCall and frameEcho are the possible first bytes of a stream opened by a
+	// caller.
 	frameCall byte = 0
 	frameEcho byte = 1
 
-	// codeClosed closes a connection without a statement about its calls.
+	// codeClosed closes a connection and does not indicate whether its calls ran.
 	codeClosed = 0
-	// codeNotRun says that no call on the stream or connection was run.
+	// codeNotRun indicates that no call on the stream or connection was run.
 	codeNotRun = 1
-	// codeCancelled says that the caller gave up.
+	// codeCancelled indicates that the caller or the sender gave up the stream or
+	// connection.
 	codeCancelled = 2
-	// codeFailed says that the handler failed after it was started.
+	// codeFailed indicates that the handler failed after it was started.
 	codeFailed = 3
 
 	// sweepInterval is the interval between searches for idle connections.
 	sweepInterval = time.Second
-	// keepAliveShare is the part of the idle timeout after which a connection
-	// with a call in flight is kept alive.
-	keepAliveShare = 3
+	// keepAliveDivisor divides the idle timeout into the keep-alive period of dialed
+	// call connections, so that the timeout does not end a connection with a call in
+	// flight.
+	keepAliveDivisor = 3
 )
 
 type (
-	// Transport connects a node with its peers. A peer is identified by the
-	// NodeID in its certificate, never by the content of a message. Exported
-	// fields are set before Open.
+	// Transport connects a node with its peers. A peer is identified by the NodeID in
+	// its certificate, never by the content of a message. The exported fields must
+	// be set before Open.
 	Transport struct {
 		// Self is the node's own id; it must be the one in Identity.
 		Self ident.NodeID
 		// Listen is host:port; port 0 chooses a free one.
 		Listen   string
 		Identity keys.Identity
-		// OnControl takes a control message. It is called from several
-		// goroutines and owns body.
+		// OnControl handles a received control message; it may be nil. It is called
+		// from several goroutines and owns body.
 		OnControl func(from ident.NodeID, body []byte)
-		// OnCall returns the answer to a request. It is called from several
-		// goroutines and owns body. Its ctx ends when the caller gives up or the
-		// connection is lost. It runs only for whole requests.
+		// OnCall returns the answer to a request that was received completely. It is
+		// called from several goroutines and owns body. Its ctx ends when the caller
+		// cancels the call or the connection is lost. If it is nil, all calls are
+		// refused.
 		OnCall func(ctx context.Context, from ident.NodeID, body []byte) []byte
-		// OnEvent takes the events of dialed call connections; it may be nil. It
+		// OnEvent receives the events of dialed call connections; it may be nil. It
 		// is called from several goroutines and must not block.
 		OnEvent func(Event)
-		// Registry takes the transport's metrics; it may be nil.
+		// Registry registers the transport's metrics; it may be nil.
 		Registry prometheus.Registerer
 		Limits   Limits
 
@@ -74,45 +78,48 @@
 		quic     *quic.Transport
 		listener *quic.Listener
 		metrics  metrics
-		// life ends when the transport shuts down.
-		life  context.Context
-		end   context.CancelFunc
-		group conc.WaitGroup
+		// runCtx ends when the transport shuts down; it is nil before Open.
+		runCtx    context.Context
+		cancelRun context.CancelFunc
+		group     conc.WaitGroup
 
+		// mu guards what follows.
 		mu sync.Mutex
-		// draining is set once; no call is started afterwards.
+		// draining is set once; calls of peers are refused afterwards.
 		draining bool
 		// closed is set once; nothing is dialed or accepted afterwards.
 		closed bool
-		// running counts the calls in OnCall or writing their answer.
+		// running counts the calls of peers that are in OnCall or writing their answer.
 		running int
 		nextID  ConnectionID
-		// links holds the connection for new calls to each node; a link is
-		// replaced when its connection is retired.
+		// links holds the connection for new calls to each node. A link is removed
+		// when its connection is retired, and the next call dials a new one.
 		links map[ident.NodeID]*link
-		// dialed and accepted hold every open connection.
+		// dialed holds every open call connection that this node dialed, and accepted
+		// every open connection that a peer dialed.
 		dialed   map[ConnectionID]*connection
 		accepted map[*connection]struct{}
-		// senders holds the queue of control messages for each node.
+		// senders holds the sender of control messages to each node that has one.
 		senders map[ident.NodeID]*sender
-		// inbound holds the last accepted control connection of each node.
+		// inbound holds the control connection of each node that was accepted last.
 		inbound map[ident.NodeID]*connection
 	}
 )
 
 var (
-	// errClosed reports a transport that is not open.
+	// errClosed reports a call on a transport that is not open.
 	errClosed = errors.New("transport is not open")
 	// errWrongNode reports a peer whose certificate names another node.
 	errWrongNode = errors.New("certificate names another node")
 )
 
-// Open binds the listener. Calls and control messages can be sent afterwards.
+// Open binds the listener. Calls and control messages can be sent afterwards; those of
+// peers are accepted once Run is called.
 func (t *Transport) Open() error {
 	if t.Identity.Node != t.Self {
 		return fmt.Errorf("open transport of %s: %w: %s", t.Self, errWrongNode, t.Identity.Node)
 	}
-	t.Limits = t.Limits.filled()
+	t.Limits = t.Limits.withDefaults()
 	t.links = make(map[ident.NodeID]*link)
 	t.dialed = make(map[ConnectionID]*connection)
 	t.accepted = make(map[*connection]struct{})
@@ -132,7 +139,7 @@
 	if t.listener, err = t.quic.Listen(t.serverTLS(), t.config(0)); err != nil {
 		return errors.Join(fmt.Errorf("listen for peers: %w", err), t.socket.Close())
 	}
-	t.life, t.end = context.WithCancel(context.Background())
+	t.runCtx, t.cancelRun = context.WithCancel(context.Background())
 	return nil
 }
 
@@ -165,19 +172,20 @@
 	for _, c := range open {
 		c.close(c.closeCode(), "shutdown")
 	}
-	t.end()
+	t.cancelRun()
 	err := errors.Join(t.listener.Close(), t.quic.Close(), t.socket.Close())
 	t.group.Wait()
 	return err
 }
 
-// sweep closes call connections that were not used for the idle time.
+// sweep retires, at regular intervals, dialed call connections that were not used for
+// the idle timeout.
 func (t *Transport) sweep() {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-t.life.Done():
+		case <-t.runCtx.Done():
 			return
 		case <-ticker.C:
 			t.closeIdle(t.Limits.IdleMillis.Duration())
@@ -185,7 +193,7 @@
 	}
 }
 
-// closeIdle retires the call connections that were not used for the given time.
+// closeIdle retires the dialed call connections that were not used for the given time.
 func (t *Transport) closeIdle(after time.Duration) {
 	t.mu.Lock()
 	var idle []*connection
@@ -200,8 +208,8 @@
 	}
 }
 
-// config returns the QUIC settings; keepAlive is 0 for connections that need no
-// packets of their own.
+// config returns the QUIC settings of a connection; keepAlive is 0 for connections
+// without keep-alive packets.
 func (t *Transport) config(keepAlive time.Duration) *quic.Config {
 	return &quic.Config{
 		HandshakeIdleTimeout:       t.Limits.HandshakeMillis.Duration(),
@@ -251,9 +259,10 @@
 	}
 }
 
-// resetKey returns a key that stays the same when the process is replaced, so
-// that peers learn with their next packet of more than 42 bytes that connections
-// to the earlier process are gone.
+// resetKey returns the key for stateless resets. It is derived from the node's private
+// key and so stays the same when the process is replaced: a packet of more than 42 bytes
+// on a connection to the earlier process is answered with a reset that the peer
+// accepts. It returns nil if the private key has no seed.
 func (t *Transport) resetKey() *quic.StatelessResetKey {
 	private, ok := t.Identity.Certificate.PrivateKey.(interface{ Seed() []byte })
 	if !ok {
--- a/io/peer/transport_test.go
+++ b/io/peer/transport_test.go
@@ -18,11 +18,11 @@
 	"hickoryrail/io/keys"
 )
 
-// patience bounds waits that end much earlier unless there is a fault.
-const patience = 20 * time.Second
+// testTimeout bounds waits that end much earlier unless there is a fault.
+const testTimeout = 20 * time.Second
 
-// fleet creates a key directory with nodes a and b.
-func fleet(t *testing.T) string {
+// keyDirectory creates a directory with an authority and the keys of nodes a and b.
+func keyDirectory(t *testing.T) string {
 	directory := t.TempDir()
 	if _, err := keys.CreateFleet(directory, []ident.NodeID{"a", "b"}); err != nil {
 		t.Fatal(err)
@@ -30,15 +30,15 @@
 	return directory
 }
 
-// start runs a transport until the test ends.
-func start(t *testing.T, directory string, self ident.NodeID, adapt func(*Transport)) *Transport {
+// start opens a transport on a free port and runs it until the test ends.
+func start(t *testing.T, directory string, self ident.NodeID, configure func(*Transport)) *Transport {
 	identity, err := keys.LoadIdentity(directory, self)
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := &Transport{Self: self, Listen: "127.0.0.1:0", Identity: identity}
-	if adapt != nil {
-		adapt(p)
+	if configure != nil {
+		configure(p)
 	}
 	if err := p.Open(); err != nil {
 		t.Fatal(err)
@@ -50,18 +50,18 @@
 	return p
 }
 
-// answerTo is the only right answer to a request.
+// answerTo returns the expected answer to a request.
 func answerTo(body []byte) []byte {
 	return append([]byte("answer to "), body...)
 }
 
-// TestAnswersNeverCross guards against answers that reach another caller or are
-// cut short, and against a NotRun verdict for a request that was run, while calls
+// TestAnswersMatchRequests guards against answers that are delivered to another call or
+// are truncated, and against a NotRun verdict for a request that was run, while calls
 // are cancelled and time out at random points (I4, I5).
-func TestAnswersNeverCross(t *testing.T) {
+func TestAnswersMatchRequests(t *testing.T) {
 	var mu sync.Mutex
 	ran := make(map[string]bool)
-	directory := fleet(t)
+	directory := keyDirectory(t)
 	server := start(t, directory, "b", func(p *Transport) {
 		p.OnCall = func(ctx context.Context, _ ident.NodeID, body []byte) []byte {
 			mu.Lock()
@@ -76,12 +76,12 @@
 	})
 	client := start(t, directory, "a", nil)
 	var g conc.WaitGroup
-	var whole, failed int
+	var answered, failed int
 	for i := range 600 {
 		g.Go(func() {
 			r := rand.New(rand.NewPCG(1, uint64(i)))
 			body := bytes.Repeat([]byte(fmt.Sprintf("%08d", i)), 1+r.IntN(40_000))
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 			if r.IntN(2) == 0 {
 				ctx, cancel = context.WithTimeout(ctx, time.Duration(r.IntN(60_000))*time.Microsecond)
 			}
@@ -91,7 +91,7 @@
 			defer mu.Unlock()
 			switch {
 			case err == nil:
-				whole++
+				answered++
 				if !bytes.Equal(got, answerTo(body)) {
 					t.Errorf("call %d: answer of %d bytes for a request of %d", i, len(got), len(body))
 				}
@@ -103,17 +103,18 @@
 		})
 	}
 	g.Wait()
-	t.Logf("%d answered, %d failed", whole, failed)
-	if whole == 0 || failed == 0 {
-		t.Errorf("both outcomes must occur: %d answered, %d failed", whole, failed)
+	t.Logf("%d answered, %d failed", answered, failed)
+	if answered == 0 || failed == 0 {
+		t.Errorf("both outcomes must occur: %d answered, %d failed", answered, failed)
 	}
 }
 
-// TestCancellation guards against handlers that go on after their caller gave up.
+// TestCancellation guards against a handler that continues after its caller has
+// cancelled the call.
 func TestCancellation(t *testing.T) {
 	is := is.New(t)
 	started, ended := make(chan struct{}), make(chan struct{})
-	directory := fleet(t)
+	directory := keyDirectory(t)
 	server := start(t, directory, "b", func(p *Transport) {
 		p.OnCall = func(ctx context.Context, _ ident.NodeID, _ []byte) []byte {
 			close(started)
@@ -130,33 +131,34 @@
 	<-ended
 }
 
-// TestStrangersAreRefused guards against peers of another authority and peers
-// that answer at the address of another node.
-func TestStrangersAreRefused(t *testing.T) {
+// TestUnauthorizedPeersAreRefused guards against accepting a peer whose certificate is
+// from another authority, or a peer that has the address but not the certificate of the
+// intended node.
+func TestUnauthorizedPeersAreRefused(t *testing.T) {
 	is := is.New(t)
-	directory := fleet(t)
+	directory := keyDirectory(t)
 	run := make(chan ident.NodeID, 8)
 	server := start(t, directory, "b", func(p *Transport) {
 		p.OnCall = func(_ context.Context, from ident.NodeID, _ []byte) []byte { run <- from; return nil }
 		p.OnControl = func(from ident.NodeID, _ []byte) { run <- from }
 	})
 	client := start(t, directory, "a", nil)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for _, wrong := range []ident.NodeID{"a", "B", "c"} {
 		_, err := client.Call(ctx, wrong, server.Address(), nil)
 		is.Equal(result.Of(err), result.NotRun)
 		client.SendControl(wrong, server.Address(), []byte("x"))
 	}
-	stranger := start(t, fleet(t), "a", func(p *Transport) {
-		// It trusts the other fleet, so that only the server can refuse it.
+	foreign := start(t, keyDirectory(t), "a", func(p *Transport) {
+		// It trusts the server's authority, so that only the server can refuse it.
 		pool, err := keys.LoadAuthority(directory)
 		is.NoErr(err)
 		p.Identity.Authority = pool
 	})
-	_, err := stranger.Call(ctx, "b", server.Address(), nil)
+	_, err := foreign.Call(ctx, "b", server.Address(), nil)
 	is.Equal(result.Of(err), result.NotRun)
-	_, err = start(t, fleet(t), "a", nil).Call(ctx, "b", server.Address(), nil)
+	_, err = start(t, keyDirectory(t), "a", nil).Call(ctx, "b", server.Address(), nil)
 	is.Equal(result.Of(err), result.NotRun)
 	is.Equal(len(run), 0)
 	_, err = client.Call(ctx, "b", server.Address(), nil)
@@ -164,11 +166,11 @@
 	is.Equal(<-run, ident.NodeID("a"))
 }
 
-// TestFrozenConnection guards against calls that hang on a silent connection and
-// against a fresh connection that shares its fate.
+// TestFrozenConnection guards against calls that hang on a connection whose packets are
+// dropped, and against a fresh connection that uses the same ports and is dropped too.
 func TestFrozenConnection(t *testing.T) {
 	is := is.New(t)
-	directory := fleet(t)
+	directory := keyDirectory(t)
 	events := make(chan Event, 1024)
 	server := start(t, directory, "b", func(p *Transport) {
 		p.OnCall = func(_ context.Context, _ ident.NodeID, body []byte) []byte { return answerTo(body) }
@@ -177,7 +179,7 @@
 		p.OnEvent = func(e Event) { events <- e }
 	})
 	f := newForwarder(t, server.Address())
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	_, err := client.Call(ctx, "b", f.address(), []byte("1"))
 	is.NoErr(err)
@@ -222,7 +224,7 @@
 func TestDrain(t *testing.T) {
 	is := is.New(t)
 	started, release := make(chan struct{}), make(chan struct{})
-	directory := fleet(t)
+	directory := keyDirectory(t)
 	server := start(t, directory, "b", func(p *Transport) {
 		p.OnCall = func(_ context.Context, _ ident.NodeID, body []byte) []byte {
 			close(started)
@@ -231,7 +233,7 @@
 		}
 	})
 	client := start(t, directory, "a", nil)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	var g conc.WaitGroup
 	g.Go(func() {
@@ -253,22 +255,22 @@
 	g.Wait()
 }
 
-// TestDrainPassesSilentCaller guards against a planned stop that waits for a
-// caller whose connection went silent.
-func TestDrainPassesSilentCaller(t *testing.T) {
+// TestDrainIgnoresSilentCaller guards against a planned stop that waits for a caller
+// whose packets no longer arrive.
+func TestDrainIgnoresSilentCaller(t *testing.T) {
 	is := is.New(t)
-	directory := fleet(t)
+	directory := keyDirectory(t)
 	server := start(t, directory, "b", func(p *Transport) {
 		p.OnCall = func(_ context.Context, _ ident.NodeID, body []byte) []byte { return answerTo(body) }
 	})
 	client := start(t, directory, "a", nil)
 	f := newForwarder(t, server.Address())
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	_, err := client.Call(ctx, "b", f.address(), []byte("1"))
 	is.NoErr(err)
 	f.freeze()
-	is.NoErr(server.Drain(ctx)) // ctx ends before the idle time of the connection
+	is.NoErr(server.Drain(ctx)) // ctx ends before the idle timeout of the connection
 }
 
 // isDraining reports whether a drain has begun.
@@ -278,11 +280,11 @@
 	return t.draining
 }
 
-// TestControl guards against control messages that are lost on a good network or
-// block their sender on a bad one, and against uncounted traffic.
+// TestControl guards against control messages that are lost although the peer is
+// reachable, that block their sender although it is not, and against uncounted traffic.
 func TestControl(t *testing.T) {
 	is := is.New(t)
-	directory := fleet(t)
+	directory := keyDirectory(t)
 	got := make(chan string, 64)
 	receive := func(p *Transport) {
 		p.OnControl = func(from ident.NodeID, body []byte) { got <- string(from) + string(body) }
@@ -292,7 +294,7 @@
 	is.Equal(<-got, "aping")
 	b.SendControl("a", a.Address(), []byte("pong"))
 	is.Equal(<-got, "bpong")
-	is.Equal(len(b.dialedControl()), 0) // the answer used the peer's connection
+	is.Equal(len(b.dialedControl()), 0) // b replied on the connection that a dialed
 	is.True(a.ControlTraffic().Sent > 1200)
 	is.True(b.ControlTraffic().Received > 1200)
 	for range 10_000 {
@@ -309,20 +311,20 @@
 	defer t.mu.Unlock()
 	var out []ident.NodeID
 	for n, s := range t.senders {
-		if s.own != nil {
+		if s.dialed != nil {
 			out = append(out, n)
 		}
 	}
 	return out
 }
 
-// forwarder passes UDP packets between callers and one server. It can freeze the
-// flows that exist, while new ones work.
+// forwarder forwards UDP packets between callers and one server. It can drop the packets
+// of all existing flows and still forward those of new ones.
 type forwarder struct {
 	socket *net.UDPConn
 	server *net.UDPAddr
 	mu     sync.Mutex
-	// flows holds the socket towards the server for each caller; nil is frozen.
+	// flows holds each caller's socket towards the server, or nil if it is frozen.
 	flows map[string]*net.UDPConn
 }
 
@@ -344,7 +346,7 @@
 
 func (f *forwarder) address() string { return f.socket.LocalAddr().String() }
 
-// run passes packets towards the server.
+// run forwards packets of callers to the server until the socket is closed.
 func (f *forwarder) run() {
 	buffer := make([]byte, 2048)
 	for {
@@ -358,7 +360,8 @@
 	}
 }
 
-// flow returns the socket for a caller, or nil if it is frozen.
+// flow returns the socket towards the server for a caller, or nil if its flow is frozen.
+// For a new caller it starts forwarding the server's packets.
 func (f *forwarder) flow(from *net.UDPAddr) *net.UDPConn {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -384,7 +387,7 @@
 	return flow
 }
 
-// freeze drops all further packets of the flows that exist.
+// freeze drops all further packets of the existing flows.
 func (f *forwarder) freeze() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
