--- a/core/once/atmostonce_test.go
+++ b/core/once/atmostonce_test.go
@@ -64,7 +64,7 @@
 		request  string
 		claim    *Claim
 		policy   *retry.Policy
-		attempt  retry.Attempt
+		attempt  retry.CallState
 		current  ident.RequestID
 		crashed  bool
 		forwards int
@@ -151,8 +151,8 @@
 func (sim *simulation) submit(name, key, request string) *submission {
 	s := &submission{sim: sim, name: name, key: key, request: request}
 	s.policy = &retry.Policy{Budget: &retry.Budget{PerSecond: 1e6}, Rand: rand.New(rand.NewPCG(1, uint64(len(name))))}
-	s.policy.Budget.Call(sim.now)
-	s.attempt = retry.Attempt{Route: model.Route{MaxAttempts: 3}, Deadline: sim.now + 5000}
+	s.policy.Budget.RecordCall(sim.now)
+	s.attempt = retry.CallState{Route: model.Route{MaxAttempts: 3}, Deadline: sim.now + 5000}
 	if key == "" {
 		s.forward()
 		return s
