--- a/io/wire/call.go
+++ b/io/wire/call.go
@@ -22,8 +22,7 @@
 
 type (
 	// Request is one attempt of a caller's request, sent to the node beside the
-	// target. It owns its byte slices; none aliases an
-	// I/O buffer.
+	// target. It owns its byte slices; none aliases an I/O buffer.
 	Request struct {
 		_ struct{} `cbor:",toarray"`
 		// ID is unique per attempt, so that a void record covers one attempt.
@@ -62,8 +61,7 @@
 	}
 
 	// Response is the outcome of one attempt. Status, Headers and Body are set
-	// only if Verdict is Ran. It owns its byte slices; none aliases an
-	// I/O buffer.
+	// only if Verdict is Ran. It owns its byte slices; none aliases an I/O buffer.
 	Response struct {
 		_       struct{} `cbor:",toarray"`
 		Verdict result.Verdict
