--- a/io/proxy/attempt.go
+++ b/io/proxy/attempt.go
@@ -102,7 +102,7 @@
 	r := c.request
 	r.ID = ident.RequestID(c.id + "-" + strconv.Itoa(number))
 	r.Repeated = c.parentRepeated || c.state.Arrivals > 0
-	r.Looks = in.shouldFailFast(c)
+	r.FailFast = in.shouldFailFast(c)
 	r.Gate, r.Target, r.Attempt = choice.Target.GateIncarnation, choice.Target.ID, number
 	left := c.deadline - sent
 	r.RemainingMillis = max(left-min(hopReserveMillis, left*maxHopReserveShare), 0)
@@ -129,7 +129,7 @@
 	o.Verdict = resp.Verdict
 	in.mu.Lock()
 	in.Picker.Done(now, choice.Target.ID, o)
-	if r.Looks && o.Verdict != result.MayHaveRun {
+	if r.FailFast && o.Verdict != result.MayHaveRun {
 		in.FailFast.Record(c.route.Service, resp.Reason != admit.ReasonNoFreeSlot)
 	}
 	in.recordEjections()
