--- a/cmd/hickoryrail/main.go
+++ b/cmd/hickoryrail/main.go
@@ -35,7 +35,7 @@
 
 // newTarget creates a stand-in target.
 func newTarget(o cmds.TargetOptions) cmds.TargetServer {
-	return &target.Server{ID: o.ID, Service: o.Service, Listen: o.Listen, Node: o.Node, DelayMillis: o.DelayMillis}
+	return &target.Server{ID: o.ID, Service: o.Service, Listen: o.Listen, NodeAddress: o.Node, DelayMillis: o.DelayMillis}
 }
 
 // benchBackend runs measurements.
--- a/io/demo/fleet.go
+++ b/io/demo/fleet.go
@@ -101,7 +101,7 @@
 func (f *Fleet) startTarget(ctx context.Context, i int) error {
 	t := &target.Server{
 		ID: f.TargetID(i), Service: f.Service(i), Listen: loopback,
-		Node: f.nodes[i].TargetAddress(), DelayMillis: f.DelayMillis,
+		NodeAddress: f.nodes[i].TargetAddress(), DelayMillis: f.DelayMillis,
 	}
 	if err := t.Open(); err != nil {
 		return err
--- a/io/demo/observe.go
+++ b/io/demo/observe.go
@@ -9,7 +9,7 @@
 // Ready reports whether every node is ready and routes to every target.
 func (f *Fleet) Ready() bool {
 	for _, n := range f.nodes {
-		if !n.Ready() || n.Routable() < len(f.targets) {
+		if !n.Ready() || n.RoutableTargets() < len(f.targets) {
 			return false
 		}
 	}
--- a/io/node/edits.go
+++ b/io/node/editcontrol.go
@@ -11,18 +11,18 @@
 	"hickoryrail/io/plat"
 )
 
-// edits brings operators' edits to the platform.
-type edits struct {
+// editControl implements admin.EditControl with the release store of the platform.
+type editControl struct {
 	clock     clock.Clock
 	store     plat.Store
 	submitter *plat.Submitter
-	// accepted takes each accepted head, so that the fleet learns of it before
-	// the reader's next poll.
-	accepted func(order.Head)
+	// onAccepted is called with the head that an accepted edit wrote, so that the fleet
+	// learns of it before the reader's next poll.
+	onAccepted func(order.Head)
 }
 
 // Submit accepts, schedules, refuses or dry-runs an edit.
-func (e *edits) Submit(ctx context.Context, edit admin.Edit) (admin.Outcome, error) {
+func (e *editControl) Submit(ctx context.Context, edit admin.Edit) (admin.Outcome, error) {
 	proposal := order.Edit{ID: edit.EditID, Base: edit.Base, Operator: edit.Operator, Configuration: edit.Configuration}
 	if err := edit.Configuration.Validate(); err != nil {
 		return admin.Outcome{}, err
@@ -39,12 +39,13 @@
 	}
 	out, err := e.submitter.Submit(ctx, proposal)
 	if err == nil && out.Head.Version > 0 {
-		e.accepted(out.Head)
+		e.onAccepted(out.Head)
 	}
 	return outcomeOf(out, admin.Accepted), err
 }
 
-// outcomeOf converts an outcome; success is the state of one that is not refused.
+// outcomeOf converts an outcome of the submitter. The state is success unless the edit
+// was refused.
 func outcomeOf(o plat.Outcome, success admin.State) admin.Outcome {
 	state := success
 	if o.State == order.Refused {
@@ -57,7 +58,7 @@
 }
 
 // History returns at most limit releases, newest first.
-func (e *edits) History(ctx context.Context, limit int) ([]admin.HistoryEntry, error) {
+func (e *editControl) History(ctx context.Context, limit int) ([]admin.HistoryEntry, error) {
 	rows, err := plat.ReadHistory(ctx, e.store, limit)
 	if err != nil {
 		return nil, err
@@ -72,8 +73,9 @@
 	return out, nil
 }
 
-// Configuration returns the newest release by a strong read.
-func (e *edits) Configuration(ctx context.Context) (model.Release, error) {
+// Configuration returns the newest release with strong consistency, or a release of
+// version 0 if there is none.
+func (e *editControl) Configuration(ctx context.Context) (model.Release, error) {
 	head, revision, err := plat.ReadHead(ctx, e.store)
 	if err != nil || revision == ident.Revision(0) {
 		return model.Release{}, err
--- a/io/node/finder.go
+++ b/io/node/finder.go
@@ -11,66 +11,67 @@
 )
 
 const (
-	// findDelay is the time that a target has to report by itself, and findPause
-	// the pause between questions.
-	findDelay = 50 * time.Millisecond
-	findPause = 200 * time.Millisecond
-	// findMillis bounds the time of the questions; a live target has reported by
-	// then.
-	findMillis = 3 * clock.Second
-	// probeMillis bounds one question.
-	probeMillis = 300 * clock.Millis(1)
+	// findDelay is the time before the first probe, in which the target can report by
+	// itself, and findInterval the time between probes.
+	findDelay    = 50 * time.Millisecond
+	findInterval = 200 * time.Millisecond
+	// findTimeoutMillis is the time after which probing ends; a live target has reported
+	// by then.
+	findTimeoutMillis = 3 * clock.Second
+	// probeTimeoutMillis bounds one probe.
+	probeTimeoutMillis = 300 * clock.Millis(1)
 )
 
-// finder asks the target beside a node that has just started who it is. A target
-// reports every second or two; a node that was restarted beside a running target
-// would refuse its calls until then.
+// finder probes the local target for its identity after the node has started. A target
+// reports only every second or two, and a node that was restarted beside a running target
+// would refuse calls to it until the next report.
 type finder struct {
-	targets *targets
-	fleet   *fleet
-	prober  Prober
-	service ident.ServiceName
-	// address is that of the target's server; empty if it is not known.
+	localTarget *localTarget
+	fleet       *fleet
+	prober      Prober
+	service     ident.ServiceName
+	// address is host:port of the target's server; empty if it is not known, which
+	// disables probing.
 	address string
 	logger  log.Interface
 }
 
-// run asks until the target is known, the time is over or ctx ends.
+// run probes until the target is known, findTimeoutMillis have passed or ctx ends.
 func (f *finder) run(ctx context.Context) error {
 	if f.address == "" || f.prober == nil {
 		return nil
 	}
-	deadline := time.Now().Add(findMillis.Duration())
-	pause := findDelay
-	for time.Now().Before(deadline) && sleep(ctx, pause) && !f.targets.known() {
-		pause = findPause
+	deadline := time.Now().Add(findTimeoutMillis.Duration())
+	interval := findDelay
+	for time.Now().Before(deadline) && sleep(ctx, interval) && !f.localTarget.known() {
+		interval = findInterval
 		if path, ok := f.fleet.healthPath(f.service); ok {
-			f.find(ctx, path)
+			f.probe(ctx, path)
 		}
 	}
 	return ctx.Err()
 }
 
-// find asks once and announces the target that answers.
-func (f *finder) find(ctx context.Context, path string) {
-	ctx, cancel := context.WithTimeout(ctx, probeMillis.Duration())
+// probe sends one probe and reports the target that answers.
+func (f *finder) probe(ctx context.Context, path string) {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeoutMillis.Duration())
 	defer cancel()
 	r, err := f.prober.Probe(ctx, f.address, path)
 	if err != nil {
-		f.logger.WithError(err).Debug("target does not say who it is")
+		f.logger.WithError(err).Debug("probe did not identify the target")
 		return
 	}
 	r.Announcement.Service, r.Announcement.Address = f.service, f.address
-	if f.targets.known() {
+	if f.localTarget.known() {
 		return
 	}
-	if err := f.targets.Report(r); err != nil {
-		f.logger.WithError(err).Warn("target that was asked for its name is refused")
+	if err := f.localTarget.Report(r); err != nil {
+		f.logger.WithError(err).Warn("report of the probed target was refused")
 	}
 }
 
 // healthPath returns the path of a service's health checks, if the release in force
-// has one.
+// configures one.
 func (f *fleet) healthPath(name ident.ServiceName) (string, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/io/node/fixture_test.go
+++ b/io/node/fixture_test.go
@@ -28,116 +28,121 @@
 )
 
 const (
-	// patience bounds waits that end much earlier unless there is a fault.
-	patience = 30 * time.Second
-	loopback = "127.0.0.1:0"
+	// waitTimeout bounds waits, which end much earlier unless there is a fault.
+	waitTimeout = 30 * time.Second
+	loopback    = "127.0.0.1:0"
 )
 
 type (
-	// rig is a fleet in one process with the platform stand-in.
-	rig struct {
-		t         *testing.T
-		platform  *stub.Server
-		directory string
-		seed      *slot
-		// headWrites counts the writes of Head; headFaults makes them conflict
-		// and lose answers.
+	// testFleet is a fleet in one process with a stub of the platform.
+	testFleet struct {
+		t            *testing.T
+		platform     *stub.Server
+		keyDirectory string
+		// seed is the first node that was started, the seed of the others.
+		seed *testNode
+		// headWrites counts the writes of Head while headFaults is set, which makes them
+		// conflict and lose requests and answers.
 		headWrites atomic.Int64
 		headFaults atomic.Bool
 	}
 
-	// slot is a node under test with what it put in force, in order. Its fields
-	// up to advertise are set before start.
-	slot struct {
+	// testNode is a node under test. It records the releases that the node put in force,
+	// in order. The fields name, service, dropControl and advertise are set before
+	// startNode.
+	testNode struct {
 		*Node
 		name    ident.NodeID
 		service ident.ServiceName
-		// drop, if set, discards control messages before the node sees them.
-		drop      func(from ident.NodeID, m wire.Control) bool
-		advertise string
-		target    *target.Server
-		// frozen stops reads from the source.
-		frozen atomic.Bool
+		// dropControl, if set, reports whether a control message is discarded before the
+		// node receives it.
+		dropControl func(from ident.NodeID, m wire.Control) bool
+		advertise   string
+		target      *target.Server
+		// readsBlocked discards requests of the distribution to read the source.
+		readsBlocked atomic.Bool
 
+		// mu guards inForce and reasons.
 		mu      sync.Mutex
 		inForce []model.Release
+		// reasons counts the logged decisions by reason.
 		reasons map[string]int
 	}
 
-	// reply is what a caller got. Status is 0 without a whole answer.
+	// reply is the reply to a caller; status is 0 without a complete answer.
 	reply struct {
 		status                int
 		verdict, reason, body string
 	}
 )
 
-// newRig starts the platform and creates keys for five nodes.
-func newRig(t *testing.T) *rig {
+// newTestFleet starts the platform stub and creates keys for five nodes.
+func newTestFleet(t *testing.T) *testFleet {
 	t.Parallel()
-	r := &rig{t: t, platform: &stub.Server{Listen: loopback}, directory: t.TempDir()}
-	r.platform.Before = r.disturbHead
-	_, err := keys.CreateFleet(r.directory, []ident.NodeID{"node-1", "node-2", "node-3", "node-4", "node-5"})
-	r.noError(err)
-	r.noError(r.platform.Open())
-	r.background(r.platform.Run)
-	return r
+	f := &testFleet{t: t, platform: &stub.Server{Listen: loopback}, keyDirectory: t.TempDir()}
+	f.platform.Before = f.injectHeadFaults
+	_, err := keys.CreateFleet(f.keyDirectory, []ident.NodeID{"node-1", "node-2", "node-3", "node-4", "node-5"})
+	f.noError(err)
+	f.noError(f.platform.Open())
+	f.background(f.platform.Run)
+	return f
 }
 
-// disturbHead lets writers of Head meet. Of six writes it loses the answer of one
-// and another one without effect.
-func (r *rig) disturbHead(method, name string) {
-	if !r.headFaults.Load() {
+// injectHeadFaults makes concurrent writes of Head conflict. Of every six writes it loses
+// the answer of one, and the request of another.
+func (f *testFleet) injectHeadFaults(method, name string) {
+	if !f.headFaults.Load() {
 		return
 	}
 	if method == "PutObject" {
-		time.Sleep(50 * time.Millisecond) // between the reading and the write of Head
+		time.Sleep(50 * time.Millisecond) // between the read and the write of Head
 	}
 	if method != "WriteRow" || name != order.HeadKey {
 		return
 	}
-	switch r.headWrites.Add(1) % 6 {
+	switch f.headWrites.Add(1) % 6 {
 	case 0:
-		r.platform.LoseAnswers(1)
+		f.platform.LoseAnswers(1)
 	case 3:
-		r.platform.LoseRequests(1)
+		f.platform.LoseRequests(1)
 	}
 }
 
 // noError ends the test on an error.
-func (r *rig) noError(err error) {
-	r.t.Helper()
+func (f *testFleet) noError(err error) {
+	f.t.Helper()
 	if err != nil {
-		r.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 }
 
 // background runs f until the test ends.
-func (r *rig) background(f func(context.Context) error) {
+func (f *testFleet) background(run func(context.Context) error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var g conc.WaitGroup
-	g.Go(func() { _ = f(ctx) })
-	r.t.Cleanup(func() { cancel(); g.Wait() })
+	g.Go(func() { _ = run(ctx) })
+	f.t.Cleanup(func() { cancel(); g.Wait() })
 }
 
-// await waits for a condition.
-func (r *rig) await(what string, done func() bool) {
-	r.t.Helper()
-	for end := time.Now().Add(patience); !done(); time.Sleep(5 * time.Millisecond) {
+// await waits until done returns true, and fails the test after waitTimeout.
+func (f *testFleet) await(what string, done func() bool) {
+	f.t.Helper()
+	for end := time.Now().Add(waitTimeout); !done(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			r.t.Fatalf("not reached: %s", what)
+			f.t.Fatalf("not reached: %s", what)
 		}
 	}
 }
 
-// start starts a node with short periods; the first one is the seed of the others.
-func (r *rig) start(s *slot) *slot {
-	r.t.Helper()
+// startNode starts a node with short periods. The first node is the seed of the others.
+func (f *testFleet) startNode(s *testNode) *testNode {
+	f.t.Helper()
 	seeds := ""
-	if r.seed != nil {
-		seeds = fmt.Sprintf("%q", fmt.Sprintf("%s@%s", r.seed.name, r.seed.PeerAddress()))
+	if f.seed != nil {
+		seeds = fmt.Sprintf("%q", fmt.Sprintf("%s@%s", f.seed.name, f.seed.PeerAddress()))
 	}
 	text := fmt.Sprintf("Node = %q\nFailureDomain = \"a\"\nRegion = \"r\"\nPlatformURL = %q\nKeyDirectory = %q\nSeeds = [%s]\n",
-		s.name, "http://"+r.platform.Address(), r.directory, seeds)
+		s.name, "http://"+f.platform.Address(), f.keyDirectory, seeds)
 	for _, name := range []string{"Caller", "Target", "Admin", "Operator", "Peer"} {
 		text += fmt.Sprintf("%sAddress = %q\n", name, loopback)
 	}
@@ -161,62 +166,63 @@
 [Lease]
 TTLMillis = 600
 `)
-	r.noError(err)
+	f.noError(err)
 	s.Node, err = New(settings, io.Discard)
-	r.noError(err)
-	s.observe()
-	r.noError(s.Start(context.Background()))
-	r.t.Cleanup(func() { r.stop(s) })
-	if r.seed == nil {
-		r.seed = s
+	f.noError(err)
+	s.instrument()
+	f.noError(s.Start(context.Background()))
+	f.t.Cleanup(func() { f.stopNode(s) })
+	if f.seed == nil {
+		f.seed = s
 	}
 	return s
 }
 
-// stop stops a node gracefully. A second stop does nothing.
-func (r *rig) stop(s *slot) {
+// stopNode stops a node gracefully. A second call has no effect.
+func (f *testFleet) stopNode(s *testNode) {
 	if s.stopping.Load() {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	if err := s.Stop(ctx); err != nil {
-		r.t.Errorf("stop of %s: %v", s.name, err)
+		f.t.Errorf("stop of %s: %v", s.name, err)
 	}
 }
 
-// announce starts the target beside a node.
-func (r *rig) announce(s *slot, delay time.Duration) {
-	r.t.Helper()
+// startTarget starts the local target of a node.
+func (f *testFleet) startTarget(s *testNode, delay time.Duration) {
+	f.t.Helper()
 	s.target = &target.Server{
-		ID: s.settings.Target, Service: s.service, Listen: loopback, Node: s.TargetAddress(),
+		ID: s.settings.Target, Service: s.service, Listen: loopback, NodeAddress: s.TargetAddress(),
 		DelayMillis: clock.FromDuration(delay),
 	}
-	r.noError(s.target.Open())
-	r.background(s.target.Run)
+	f.noError(s.target.Open())
+	f.background(s.target.Run)
 }
 
-// observe records what the node puts in force and lets it drop messages.
-func (s *slot) observe() {
+// instrument makes the node record its decisions in s, and applies readsBlocked and
+// dropControl.
+func (s *testNode) instrument() {
 	s.reasons = make(map[string]int)
-	s.fleet.log, s.reader.log, s.stalls.log = s, s, s
+	s.fleet.log, s.reader.log, s.stallMonitor.log = s, s, s
 	read := s.fleet.readRelease
 	s.fleet.readRelease = func(v ident.Version, d ident.Digest) {
-		if !s.frozen.Load() {
+		if !s.readsBlocked.Load() {
 			read(v, d)
 		}
 	}
 	receive := s.transport.(*peer.Transport).OnControl
 	s.transport.(*peer.Transport).OnControl = func(from ident.NodeID, body []byte) {
-		if m, err := wire.DecodeControl(body); err == nil && s.drop != nil && s.drop(from, m) {
+		if m, err := wire.DecodeControl(body); err == nil && s.dropControl != nil && s.dropControl(from, m) {
 			return
 		}
 		receive(from, body)
 	}
 }
 
-// Record takes a decision; the fleet's mu is held for one on a release.
-func (s *slot) Record(d logs.Decision) {
+// Record implements logs.Sink. The caller holds the fleet's mu for a release decision.
+func (s *testNode) Record(d logs.Decision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reasons[d.Reason]++
@@ -225,40 +231,40 @@
 	}
 }
 
-// decided returns how often the node decided something for a reason.
-func (s *slot) decided(reason string) int {
+// reasonCount returns the number of logged decisions with a reason.
+func (s *testNode) reasonCount(reason string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.reasons[reason]
 }
 
-// releases returns what the node put in force, in order.
-func (s *slot) releases() []model.Release {
+// releases returns the releases that the node put in force, in order.
+func (s *testNode) releases() []model.Release {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]model.Release{}, s.inForce...)
 }
 
 // counter returns the value of a counter without labels.
-func (s *slot) counter(name string) float64 {
+func (s *testNode) counter(name string) float64 {
 	families, _ := s.registry.Gather()
-	for _, f := range families {
-		if f.GetName() == name {
-			return f.GetMetric()[0].GetCounter().GetValue()
+	for _, family := range families {
+		if family.GetName() == name {
+			return family.GetMetric()[0].GetCounter().GetValue()
 		}
 	}
 	return 0
 }
 
-// view returns the view that a new request would use.
-func (s *slot) view() *view.View { return s.ingress.View() }
+// view returns the current view of the ingress, which a new request would use.
+func (s *testNode) view() *view.View { return s.ingress.View() }
 
-// isBody reports whether a message can bring news of a release above v.
-func isBody(m wire.Control, v ident.Version) bool {
+// carriesRelease reports whether a message can announce or carry a release above v.
+func carriesRelease(m wire.Control, v ident.Version) bool {
 	return m.Spread != nil && m.Spread.Kind != spread.Fetch && m.Spread.Version > v
 }
 
-// configuration has one route and one service of each name.
+// configuration returns a configuration with a service and a route for each name.
 func configuration(slots int, names ...ident.ServiceName) model.Configuration {
 	c := model.Configuration{Inventory: model.Inventory{FailureDomains: []model.FailureDomain{{Name: "a", Region: "r"}}}}
 	for _, name := range names {
@@ -271,59 +277,62 @@
 	return c
 }
 
-// operator returns a client of a node's operator API.
-func (r *rig) operator(s *slot) *admin.Client {
-	token, err := keys.LoadOperatorToken(r.directory)
-	r.noError(err)
-	authority, err := keys.LoadAuthority(r.directory)
-	r.noError(err)
+// operatorClient returns a client of a node's operator API.
+func (f *testFleet) operatorClient(s *testNode) *admin.Client {
+	token, err := keys.LoadOperatorToken(f.keyDirectory)
+	f.noError(err)
+	authority, err := keys.LoadAuthority(f.keyDirectory)
+	f.noError(err)
 	return &admin.Client{URL: "https://" + s.OperatorAddress(), Token: token, Authority: authority}
 }
 
-// publish submits a configuration at a node and returns its version.
-func (r *rig) publish(s *slot, base ident.Version, c model.Configuration) ident.Version {
-	r.t.Helper()
+// publish submits a configuration to a node and returns the accepted version.
+func (f *testFleet) publish(s *testNode, base ident.Version, c model.Configuration) ident.Version {
+	f.t.Helper()
 	edit := admin.Edit{EditID: ident.EditID(fmt.Sprintf("edit-%d", base+1)), Base: base, Operator: "o", Configuration: c}
-	out, err := r.operator(s).Submit(context.Background(), edit)
-	r.noError(err)
+	out, err := f.operatorClient(s).Submit(context.Background(), edit)
+	f.noError(err)
 	if out.State != admin.Accepted {
-		r.t.Fatalf("edit: %+v", out)
+		f.t.Fatalf("edit: %+v", out)
 	}
 	return out.Version
 }
 
-// plant writes a head and its object past every check, as a faulty writer would.
-func (r *rig) plant(release model.Release, body []byte) {
-	r.t.Helper()
+// writeUnchecked writes a head and its object to the platform without validation, as a
+// faulty writer would.
+func (f *testFleet) writeUnchecked(release model.Release, body []byte) {
+	f.t.Helper()
 	ctx := context.Background()
-	row, err := r.platform.ReadRow(ctx, order.HeadKey)
-	r.noError(err)
+	row, err := f.platform.ReadRow(ctx, order.HeadKey)
+	f.noError(err)
 	head, err := order.DecodeHead(row.Value)
-	r.noError(err)
+	f.noError(err)
 	head = head.Next(release)
-	r.noError(r.platform.PutObject(ctx, head.Object, body))
-	_, err = r.platform.WriteRow(ctx, order.HeadKey, order.EncodeHead(head), row.Revision)
-	r.noError(err)
+	f.noError(f.platform.PutObject(ctx, head.Object, body))
+	_, err = f.platform.WriteRow(ctx, order.HeadKey, order.EncodeHead(head), row.Revision)
+	f.noError(err)
 }
 
-// everywhere waits until a version is in force on the nodes, they are ready and
-// they route to a number of targets.
-func (r *rig) everywhere(v ident.Version, targets int, nodes ...*slot) {
-	r.t.Helper()
+// awaitVersion waits until the nodes are ready, have put version v or a later one in force
+// and route to at least the given number of targets.
+func (f *testFleet) awaitVersion(v ident.Version, targets int, nodes ...*testNode) {
+	f.t.Helper()
 	for _, s := range nodes {
-		r.await(fmt.Sprintf("version %d and %d targets on %s", v, targets, s.name), func() bool {
-			return s.Version() >= v && s.Ready() && s.Routable() >= targets
+		f.await(fmt.Sprintf("version %d and %d targets on %s", v, targets, s.name), func() bool {
+			return s.Version() >= v && s.Ready() && s.RoutableTargets() >= targets
 		})
 	}
 }
 
-// load is callers that send actions until the test ends them.
+// load is a set of callers that send actions until stopAndCheck is called.
 type load struct {
-	stop     atomic.Bool
-	group    conc.WaitGroup
-	mu       sync.Mutex
-	replies  map[string]reply
+	stop  atomic.Bool
+	group conc.WaitGroup
+	// mu guards replies.
+	mu sync.Mutex
+	// replies holds the reply to each action.
+	replies map[string]reply
+	// answered counts the replies with the verdict Ran, and failed the other ones.
 	answered atomic.Int64
-	// failed counts the other replies.
-	failed atomic.Int64
+	failed   atomic.Int64
 }
--- a/io/node/fleet.go
+++ b/io/node/fleet.go
@@ -18,20 +18,20 @@
 )
 
 const (
-	// fleetTick is the period of the membership and distribution timers. Views
-	// are rebuilt at most once per tick for changes of members.
+	// fleetTick is the period of the membership and distribution timers. Membership
+	// changes cause at most one rebuild of the view per tick.
 	fleetTick = 100 * time.Millisecond
 )
 
-// Reasons of releases and members.
+// Reasons of logged release decisions.
 const (
 	reasonInForce = "release put in force"
 	reasonRefused = "release refused: not whole, valid and newer"
 )
 
 type (
-	// fleet joins membership and release distribution, and puts views in force.
-	// It serializes the events of both state machines.
+	// fleet runs the state machines of membership and release distribution, and passes
+	// the resulting views to the ingress. It serializes the events of both state machines.
 	fleet struct {
 		clock     clock.Clock
 		transport transport
@@ -40,33 +40,35 @@
 		log       logs.Sink
 		service   ident.ServiceName
 		metrics   *metrics
-		// readRelease asks the source for a release, and needSource for whatever
-		// it holds. Neither may block.
+		// readRelease requests the given release from the source, and needSource the
+		// newest one. Neither may block.
 		readRelease func(v ident.Version, d ident.Digest)
 		needSource  func()
 
-		// mu guards the state machines and the fields below. It is held before
-		// the locks of ingress and gateway.
+		// mu guards the state machines and the fields below. It is acquired before the
+		// locks of ingress and gateway.
 		mu       sync.Mutex
 		table    *member.Table
 		releases *spread.Node
-		// inForce is the release of the current view; its version never falls.
+		// inForce is the release of the current view; its version never decreases.
 		inForce model.Release
-		// index has the routes of inForce.
+		// index holds the routes of inForce; nil until a release is in force.
 		index *view.Index
-		// seen is the table's sequence of the current view.
-		seen uint64
-		// stale says that the view has to be rebuilt.
-		stale      bool
+		// viewSequence is the sequence number of the member table from which the current
+		// view was built.
+		viewSequence uint64
+		// viewStale reports whether the view has to be rebuilt.
+		viewStale bool
+		// neighbours are the overlay neighbours that were last passed to releases.
 		neighbours []spread.Neighbour
 	}
 )
 
-// receive takes a control message of another node. Malformed ones are dropped.
+// receive handles a control message of another node. Malformed messages are dropped.
 func (f *fleet) receive(from ident.NodeID, body []byte) {
 	m, err := wire.DecodeControl(body)
 	if err != nil {
-		f.metrics.malformed.Inc()
+		f.metrics.malformedControl.Inc()
 		return
 	}
 	f.mu.Lock()
@@ -82,7 +84,7 @@
 	if m.Spread != nil {
 		f.perform(f.releases.Receive(now, from, *m.Spread))
 	}
-	f.refresh(now)
+	f.refreshView(now)
 }
 
 // run drives the timers until ctx ends.
@@ -90,7 +92,8 @@
 	return every(ctx, fleetTick, f.tick)
 }
 
-// tick does what is due.
+// tick runs the timers of both state machines and rebuilds the view after a membership
+// change.
 func (f *fleet) tick() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -98,13 +101,13 @@
 	f.gossip(f.table.Tick(now))
 	f.setNeighbours(now)
 	f.perform(f.releases.Tick(now))
-	if f.table.Sequence() != f.seen {
-		f.stale = true
+	if f.table.Sequence() != f.viewSequence {
+		f.viewStale = true
 	}
-	f.refresh(now)
+	f.refreshView(now)
 }
 
-// setNeighbours passes a change of the overlay on to the distribution.
+// setNeighbours passes a changed set of overlay neighbours to the distribution.
 func (f *fleet) setNeighbours(now clock.Millis) {
 	records := f.table.Neighbours()
 	neighbours := make([]spread.Neighbour, len(records))
@@ -117,7 +120,7 @@
 	}
 }
 
-// leave tells the neighbours that the node stops.
+// leave notifies the neighbours that the node stops.
 func (f *fleet) leave(context.Context) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -125,54 +128,54 @@
 	return nil
 }
 
-// setTarget tells the fleet of the target beside the node.
+// setTarget publishes the state of the local target in the node's member record.
 func (f *fleet) setTarget(service ident.ServiceName, id ident.TargetID, state member.TargetState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
 	f.gossip(f.table.SetTarget(now, service, id, state))
-	f.stale = true
-	f.refresh(now)
+	f.viewStale = true
+	f.refreshView(now)
 }
 
-// setFloor sets the version below which nothing is put in force.
+// setFloor sets the version floor: no release below it is put in force.
 func (f *fleet) setFloor(v ident.Version) {
-	f.event(func(now clock.Millis) []spread.Action { return f.releases.SetFloor(now, v) })
+	f.dispatch(func(now clock.Millis) []spread.Action { return f.releases.SetFloor(now, v) })
 }
 
-// sourceHead tells what the source holds.
+// sourceHead passes the newest version and digest at the source to the distribution.
 func (f *fleet) sourceHead(v ident.Version, d ident.Digest) {
-	f.event(func(now clock.Millis) []spread.Action { return f.releases.SourceHead(now, v, d) })
+	f.dispatch(func(now clock.Millis) []spread.Action { return f.releases.SourceHead(now, v, d) })
 }
 
-// sourceRelease takes a release that was read from the source.
+// sourceRelease passes a release that was read from the source to the distribution.
 func (f *fleet) sourceRelease(r model.Release) {
-	f.event(func(now clock.Millis) []spread.Action { return f.releases.SourceRelease(now, r) })
+	f.dispatch(func(now clock.Millis) []spread.Action { return f.releases.SourceRelease(now, r) })
 }
 
-// readerPulse tells the region that its reader is at work.
+// readerPulse announces to the region that its reader is active.
 func (f *fleet) readerPulse(region ident.Region, epoch ident.Epoch) {
-	f.event(func(now clock.Millis) []spread.Action { return f.releases.ReaderPulse(now, region, epoch) })
+	f.dispatch(func(now clock.Millis) []spread.Action { return f.releases.ReaderPulse(now, region, epoch) })
 }
 
-// event passes an event to the distribution and carries out its actions.
-func (f *fleet) event(do func(now clock.Millis) []spread.Action) {
+// dispatch passes an event to the distribution and performs the resulting actions.
+func (f *fleet) dispatch(do func(now clock.Millis) []spread.Action) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
 	f.perform(do(now))
-	f.refresh(now)
+	f.refreshView(now)
 }
 
-// pulseAge returns the time since a region's reader was last seen at work.
+// pulseAge returns the time since the last pulse of a region's reader.
 func (f *fleet) pulseAge(region ident.Region) clock.Millis {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.releases.PulseAge(f.clock.Now(), region)
 }
 
-// peerFloor returns the highest version that peers hold or have recorded for this
-// node, and whether there is a live peer that could know.
+// peerFloor returns the highest version that peers hold or have recorded for this node,
+// and whether another live node is known that could have recorded one.
 func (f *fleet) peerFloor() (ident.Version, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -189,16 +192,16 @@
 	return f.table.Records()
 }
 
-// size returns the number of live nodes in a region.
-func (f *fleet) size(region ident.Region) int {
+// regionSize returns the number of live nodes in a region.
+func (f *fleet) regionSize(region ident.Region) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.table.SizeOf(region)
 }
 
-// limits returns the slots and connections of a service's targets. A service
-// that no release in force has gets 1 of each, and no view routes to it.
-func (f *fleet) limits(name ident.ServiceName) (ident.Slots, ident.Connections) {
+// serviceLimits returns the slots and connections of a service's targets. It returns 1
+// and 1 for a service that is not in the release in force, to which no view routes.
+func (f *fleet) serviceLimits(name ident.ServiceName) (ident.Slots, ident.Connections) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.inForce.Configuration.Inventory.Services {
@@ -216,14 +219,14 @@
 	}
 }
 
-// perform carries out actions of the distribution. The caller holds mu.
+// perform performs the actions of the distribution. The caller holds mu.
 func (f *fleet) perform(actions []spread.Action) {
 	for _, a := range actions {
 		switch a.Kind {
 		case spread.Send:
 			f.send(a.To, a.Address, wire.Control{Spread: &a.Message})
 		case spread.Apply:
-			f.apply(a.Release)
+			f.applyRelease(a.Release)
 		case spread.ReadRelease:
 			f.readRelease(a.Version, a.Digest)
 		case spread.NeedSource:
@@ -236,15 +239,15 @@
 func (f *fleet) send(to ident.NodeID, address string, m wire.Control) {
 	body, err := wire.EncodeControl(m)
 	if err != nil {
-		f.metrics.malformed.Inc()
+		f.metrics.malformedControl.Inc()
 		return
 	}
 	f.transport.SendControl(to, address, body)
 }
 
-// apply puts a release in force. The caller holds mu.
-func (f *fleet) apply(r model.Release) {
-	f.inForce, f.index, f.stale = r, view.NewIndex(r), true
+// applyRelease puts a release in force. The caller holds mu.
+func (f *fleet) applyRelease(r model.Release) {
+	f.inForce, f.index, f.viewStale = r, view.NewIndex(r), true
 	f.table.SetHeld(r.Version)
 	f.metrics.version.Set(float64(r.Version))
 	f.log.Record(logs.Decision{At: f.clock.Now(), Kind: logs.Release, Version: r.Version, Reason: reasonInForce})
@@ -255,44 +258,44 @@
 	}
 }
 
-// refresh puts a new view in force if the old one is stale. The caller holds mu.
-func (f *fleet) refresh(clock.Millis) {
-	if !f.stale || f.inForce.Version == 0 {
+// refreshView puts a new view in force if the old one is stale. The caller holds mu.
+func (f *fleet) refreshView(clock.Millis) {
+	if !f.viewStale || f.inForce.Version == 0 {
 		return
 	}
-	f.stale, f.seen = false, f.table.Sequence()
+	f.viewStale, f.viewSequence = false, f.table.Sequence()
 	f.ingress.SetView(f.index.Join(f.table.Records()), f.table.Size())
 }
 
-// changed logs a change of a member's state.
-func (f *fleet) changed(_, later member.Record, reason string) {
+// memberChanged logs a state change of a member.
+func (f *fleet) memberChanged(_, later member.Record, reason string) {
 	f.log.Record(logs.Decision{
 		At: f.clock.Now(), Kind: logs.Member, Node: later.Node,
 		Service: later.Service, Target: later.Target, Reason: reason,
 	})
 }
 
-// refused logs a release that was not accepted.
-func (f *fleet) refused(from ident.NodeID, v ident.Version, _ error) {
+// releaseRefused counts and logs a release that was not accepted.
+func (f *fleet) releaseRefused(from ident.NodeID, v ident.Version, _ error) {
 	f.metrics.refusedReleases.Inc()
 	f.log.Record(logs.Decision{At: f.clock.Now(), Kind: logs.Release, Node: from, Version: v, Reason: reasonRefused})
 }
 
-// addSeeds tells the membership of nodes that a directory lists.
+// addSeeds adds the nodes of a directory as seeds of the membership.
 func (f *fleet) addSeeds(seeds []member.Seed) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.table.AddSeeds(f.clock.Now(), seeds)
 }
 
-// served reports whether a release at or above the floor is in force.
-func (f *fleet) served() bool {
+// hasRelease reports whether a release at or above the floor is in force.
+func (f *fleet) hasRelease() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.releases.Ready() && f.inForce.Version > 0
 }
 
-// leadsDomain reports whether the node is one of the first live ones of its failure
+// leadsDomain reports whether the node is among the first count live nodes of its failure
 // domain.
 func (f *fleet) leadsDomain(count int) bool {
 	f.mu.Lock()
@@ -300,7 +303,7 @@
 	return f.table.LeadsDomain(count)
 }
 
-// alone reports whether no other node is known to be alive.
+// alone reports whether no other live node is known.
 func (f *fleet) alone() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/io/node/forwarder_test.go
+++ b/io/node/forwarder_test.go
@@ -5,37 +5,39 @@
 	"sync"
 )
 
-// forwarder stands between two nodes. It can freeze the flows that exist, and
-// hold back new ones.
+// forwarder forwards UDP packets between two nodes. It can drop the packets of existing
+// flows and of new ones.
 type forwarder struct {
 	socket *net.UDPConn
 	mu     sync.Mutex
 	server *net.UDPAddr
-	// flows holds the socket towards the server for each sender; nil is frozen.
-	flows   map[string]*net.UDPConn
+	// flows maps each sender to its socket towards the server; nil means that the flow is
+	// frozen.
+	flows map[string]*net.UDPConn
+	// blocked makes the forwarder drop the packets of new flows.
 	blocked bool
 }
 
 // newForwarder runs a forwarder until the test ends.
-func newForwarder(r *rig) *forwarder {
+func newForwarder(fleet *testFleet) *forwarder {
 	socket, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
-	r.noError(err)
+	fleet.noError(err)
 	f := &forwarder{socket: socket, flows: make(map[string]*net.UDPConn)}
-	r.t.Cleanup(func() { _ = socket.Close(); f.freeze(true) })
+	fleet.t.Cleanup(func() { _ = socket.Close(); f.freeze(true) })
 	go f.run()
 	return f
 }
 
-// to sets the server.
-func (f *forwarder) to(r *rig, server string) {
+// setServer sets the address to which packets are forwarded.
+func (f *forwarder) setServer(fleet *testFleet, server string) {
 	address, err := net.ResolveUDPAddr("udp", server)
-	r.noError(err)
+	fleet.noError(err)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.server = address
 }
 
-// run passes packets towards the server.
+// run forwards packets to the server until the socket is closed.
 func (f *forwarder) run() {
 	buffer := make([]byte, 2048)
 	for {
@@ -49,7 +51,8 @@
 	}
 }
 
-// flow returns the socket for a sender, or nil if its packets are dropped.
+// flow returns the socket for a sender, creating it for a new one, or nil if its packets
+// are dropped.
 func (f *forwarder) flow(from *net.UDPAddr) *net.UDPConn {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -75,8 +78,8 @@
 	return flow
 }
 
-// freeze drops all further packets of the flows that exist; blocked drops those
-// of new flows too, until it is set to false.
+// freeze drops all further packets of the existing flows. If blocked is true, packets of
+// new flows are dropped too, until unblock is called.
 func (f *forwarder) freeze(blocked bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -89,7 +92,7 @@
 	}
 }
 
-// unblock lets new flows pass.
+// unblock forwards the packets of new flows again.
 func (f *forwarder) unblock() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/io/node/hosted.go
+++ b/io/node/hosted.go
@@ -31,44 +31,46 @@
 	serviceEndpoint kernel.Name = "platform endpoint"
 	serviceFinder   kernel.Name = "target finder"
 
-	// hostedRenewalMillis is the time without a report after which a target is
-	// gone. A report may arrive seconds late; a target that ends without a word
-	// is noticed by the requests to it.
-	hostedRenewalMillis = 8 * clock.Second
-	// hostedDomainFactor is the DomainFactor of the picker: bytes between failure
-	// domains are paid for.
+	// hostedRenewalTimeoutMillis is the time without a report after which a target is
+	// removed. A report may arrive seconds late; a target that ends without a leave
+	// report is detected by failed requests to it.
+	hostedRenewalTimeoutMillis = 8 * clock.Second
+	// hostedDomainFactor is the DomainFactor of the picker. It is high because the
+	// platform bills traffic between failure domains.
 	hostedDomainFactor = 3
-	// hostedGCPercent is the growth of the heap between collections. Memory beside
-	// a target is dear, and processor time is not.
+	// hostedGCPercent is the growth of the heap between collections. It is low because
+	// memory beside a target costs more than processor time.
 	hostedGCPercent = 30
-	// hostedKeptBytes bounds the kept answers: those of 3 s at 20 actions of 5 KB
-	// a second, which is longer than a caller of an action waits for one.
+	// hostedKeptBytes bounds the responses that the gateway keeps. It holds those of 3 s
+	// at 20 actions/s of 5 KB, which is longer than a caller of an action waits for a
+	// response.
 	hostedKeptBytes = 512 << 10
-	// hostedLogCapacity is the number of decisions that wait to be written.
+	// hostedLogCapacity bounds the decisions that are buffered for the decision log.
 	hostedLogCapacity = 512
-	// hostedLogLines bounds the lines of the decision log in a second.
+	// hostedLogLines bounds the lines of the decision log per second.
 	hostedLogLines = 200
-	// hostedStaleMillis is the time without calls after which a target is tried.
-	// Near targets get nearly all calls, so that far ones show what they can do
-	// only when they are tried.
+	// hostedStaleMillis is the time without calls after which a target gets a call
+	// whatever its score. Near targets get nearly all calls, so the measurements of far
+	// ones would otherwise be out of date.
 	hostedStaleMillis = 10 * clock.Second
-	// hostedSourceMillis is the time for the first read of the source, which every node
-	// that starts makes anyway.
+	// hostedSourceMillis is how long a starting node waits for its own first read of the
+	// source, which it makes in any case, before it fetches the release from neighbours.
 	hostedSourceMillis = 800 * clock.Millis(1)
-	// hostedFetchMillis is the wait for a delta from a neighbour that may have
-	// stopped; several fit into the time in which a release must be in force.
+	// hostedFetchMillis is the timeout of a fetch from a neighbour, which may have
+	// stopped. Several fetches fit into the time in which a release must be in force.
 	hostedFetchMillis = 500 * clock.Millis(1)
-	// gateMillis is how long the gate of a node that stops goes on admitting
-	// calls of nodes that have not heard of the stop.
-	gateMillis = 500 * clock.Millis(1)
-	// hostedLingerMillis is how long a stopping ingress waits for callers to use
-	// their connections once more. They have been told by the readiness check.
+	// stopAdmitMillis is how long the gate of a stopping node still admits calls after
+	// the announcement of the stop, for nodes that have not received it yet.
+	stopAdmitMillis = 500 * clock.Millis(1)
+	// hostedLingerMillis is how long a stopping ingress waits for callers to use their
+	// open connections once more. It is short because the readiness check has failed since
+	// the start of the lame-duck period, so that callers already use other nodes.
 	hostedLingerMillis = 100 * clock.Millis(1)
 )
 
 type (
-	// Hosted is what an adapter provides for a node on a platform with protocols
-	// of its own.
+	// Hosted configures a node that runs on another platform through an adapter. The
+	// adapter provides the parts that depend on the platform's protocols.
 	Hosted struct {
 		Settings conf.Settings
 		// Retries bounds the repeated arrivals at targets over all nodes.
@@ -76,48 +78,48 @@
 		Dialect   proxy.Dialect
 		Source    plat.Source
 		Directory plat.Directory
-		// Prober asks the target beside the node who it is.
+		// Prober identifies the local target when the node starts; nil disables probing.
 		Prober Prober
-		// Endpoint returns the server at which the platform and the target call
-		// the node.
+		// Endpoint returns the server on which the node receives calls of the platform
+		// and of the local target.
 		Endpoint func(c Control) Endpoint
 	}
 
-	// Prober finds the target that listens at an address.
+	// Prober identifies the target that listens at an address.
 	Prober interface {
-		// Probe returns the target that answers a health check as healthy, with
-		// its slots and its requests in flight.
+		// Probe sends a health check to path. It returns a report of the target, with
+		// its slots and requests in flight, if the target is healthy.
 		Probe(ctx context.Context, address, path string) (admin.Report, error)
 	}
 
-	// Control is what an endpoint tells and asks the node.
+	// Control is the interface of a node for its endpoint.
 	Control interface {
-		// Report takes a statement of the target beside the node. After an error
-		// nothing has changed, and the target has no acknowledgement.
+		// Report handles a statement of the local target. After an error the state is
+		// unchanged, and the endpoint must not acknowledge the statement.
 		Report(r admin.Report) error
-		// Ready reports whether the node may get callers.
+		// Ready reports whether the node may serve callers.
 		Ready() bool
 	}
 
-	// Endpoint is a server of an adapter.
+	// Endpoint is the server of an adapter.
 	Endpoint interface {
 		Open() error
 		Run(ctx context.Context) error
 		Drain(ctx context.Context) error
 	}
 
-	// control joins the parts of a node that an endpoint needs.
+	// control implements Control.
 	control struct {
-		*targets
+		*localTarget
 		node *Node
 	}
 )
 
-// Ready reports whether the node may get callers.
+// Ready reports whether the node may serve callers.
 func (c control) Ready() bool { return c.node.Ready() }
 
-// NewHosted wires a node with the parts that an adapter provides. The log goes to
-// output as JSON lines.
+// NewHosted assembles a node with the parts that an adapter provides. The log is written
+// to output as JSON lines.
 func NewHosted(h Hosted, output io.Writer) (*Node, error) {
 	random, err := newRandom()
 	if err != nil {
@@ -132,25 +134,25 @@
 	if err := n.decisions.Register(n.registry); err != nil {
 		return nil, eris.Wrap(err, "node: metrics")
 	}
-	n.wireHostedPath(&h, random)
+	n.wireHostedDataPath(&h, random)
 	n.wireHostedFleet(random)
 	if err := n.metrics.register(n.registry, n.fleet); err != nil {
 		return nil, eris.Wrap(err, "node: metrics")
 	}
-	n.admin = &admin.Admin{Listen: s.AdminAddress, Metrics: n.registry, Source: n.status}
+	n.adminServer = &admin.Admin{Listen: s.AdminAddress, Metrics: n.registry, Source: n.status}
 	w := &watcher{
 		clock: n.clock, source: h.Source, directory: h.Directory, fleet: n.fleet, log: n.decisions, metrics: n.metrics,
-		startMillis: s.Spread.StartSourceMillis, random: fork(random), self: n.seed, wanted: make(chan struct{}, 1),
+		startSourceMillis: s.Spread.StartSourceMillis, random: splitRandom(random), self: n.directoryEntry, readRequest: make(chan struct{}, 1),
 	}
-	n.fleet.needSource = w.want
-	f := &finder{targets: n.targets, fleet: n.fleet, prober: h.Prober, service: s.Service, address: s.TargetEndpoint, logger: n.logger}
-	return n, n.registerHosted(w, f, h.Endpoint(control{targets: n.targets, node: n}))
+	n.fleet.needSource = w.requestRead
+	f := &finder{localTarget: n.localTarget, fleet: n.fleet, prober: h.Prober, service: s.Service, address: s.TargetEndpoint, logger: n.logger}
+	return n, n.registerHosted(w, f, h.Endpoint(control{localTarget: n.localTarget, node: n}))
 }
 
-// wireHostedPath creates the gateway, the ingress and the TCP transport.
-func (n *Node) wireHostedPath(h *Hosted, random *rand.Rand) {
-	n.wirePath(random)
-	n.ingress.Policy = &retry.Policy{Share: &h.Retries, RetryFailures: true, Rand: fork(random)}
+// wireHostedDataPath creates the gateway, the ingress and the TCP transport.
+func (n *Node) wireHostedDataPath(h *Hosted, random *rand.Rand) {
+	n.wireProxy(random)
+	n.ingress.Policy = &retry.Policy{Share: &h.Retries, RetryFailures: true, Rand: splitRandom(random)}
 	n.ingress.Picker.Limits = route.Limits{
 		DomainFactor: hostedDomainFactor, LocalPair: true, StaleMillis: hostedStaleMillis,
 	}
@@ -163,56 +165,56 @@
 		Self: h.Settings.Node, Listen: h.Settings.PeerAddress, Registry: n.registry, BodyBytes: n.gateway.Limits.CallBytes(),
 		OnControl: func(from ident.NodeID, body []byte) { n.fleet.receive(from, body) },
 		OnCall:    n.onCall,
-		OnEvent:   n.stalls.event,
+		OnEvent:   n.stallMonitor.handleEvent,
 	}
-	n.ingress.Peers, n.stalls.transport = n.transport, n.transport
+	n.ingress.Peers, n.stallMonitor.transport = n.transport, n.transport
 }
 
-// wireHostedFleet creates membership and distribution without a reader, and the state
-// of the target.
+// wireHostedFleet creates membership, distribution, and the state of the local target.
+// A hosted node has no reader.
 func (n *Node) wireHostedFleet(random *rand.Rand) {
 	config := spread.DefaultConfig()
 	config.SourceMillis, config.FetchMillis = hostedSourceMillis, hostedFetchMillis
 	n.fleet = &fleet{
 		clock: n.clock, transport: n.transport, ingress: n.ingress, gateway: n.gateway,
 		log: n.decisions, service: n.settings.Service, metrics: n.metrics,
-		releases: spread.New(config, fork(random)),
-		// The watcher hands over whole releases; none is read by its name.
+		releases: spread.New(config, splitRandom(random)),
+		// The watcher passes on whole releases; none is requested by version and digest.
 		readRelease: func(ident.Version, ident.Digest) {},
 	}
-	n.fleet.releases.OnRefuse = n.fleet.refused
-	n.targets = &targets{renewal: hostedRenewalMillis, clock: n.clock, gateway: n.gateway, fleet: n.fleet, log: n.decisions}
+	n.fleet.releases.OnRefuse = n.fleet.releaseRefused
+	n.localTarget = &localTarget{renewalTimeout: hostedRenewalTimeoutMillis, clock: n.clock, gateway: n.gateway, fleet: n.fleet, log: n.decisions}
 	n.status = &status{fleet: n.fleet, stopping: n.stopping.Load}
-	n.tableRandom = fork(random)
+	n.tableRandom = splitRandom(random)
 }
 
-// seed returns the node's own entry for the directory.
-func (n *Node) seed() member.Seed {
+// directoryEntry returns the entry of this node in the directory.
+func (n *Node) directoryEntry() member.Seed {
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
 	self := n.fleet.table.Self()
 	return member.Seed{Node: self.Node, Address: self.PeerAddress}
 }
 
-// registerHosted gives the parts to the kernel in the order of their start.
+// registerHosted registers the services with the kernel in the order of their start.
 func (n *Node) registerHosted(w *watcher, f *finder, e Endpoint) error {
 	return n.registerAll([]service{
 		{serviceLog, &unit{run: n.decisions.Run}},
-		{serviceTransport, &unit{open: plainOpen(n.transport.Open), run: n.transport.Run, drain: n.transport.Drain}},
-		{serviceStalls, &unit{run: n.stalls.run}},
-		{serviceGateway, &unit{open: plainOpen(n.gateway.Open), run: n.gateway.Run}},
-		{serviceIngress, &unit{open: plainOpen(n.ingress.Open), run: n.ingress.Run}},
+		{serviceTransport, &unit{open: adaptOpen(n.transport.Open), run: n.transport.Run, drain: n.transport.Drain}},
+		{serviceStalls, &unit{run: n.stallMonitor.run}},
+		{serviceGateway, &unit{open: adaptOpen(n.gateway.Open), run: n.gateway.Run}},
+		{serviceIngress, &unit{open: adaptOpen(n.ingress.Open), run: n.ingress.Run}},
 		{serviceFleet, &unit{open: n.openFleet, run: n.fleet.run, drain: n.fleet.leave}},
 		{serviceSource, &unit{run: w.run}},
-		{serviceLapse, &unit{run: n.targets.run, drain: n.drainCalls}},
+		{serviceRenewal, &unit{run: n.localTarget.run, drain: n.drainRequests}},
 		{serviceFinder, &unit{run: f.run}},
-		{serviceAdmin, &unit{open: plainOpen(n.admin.Open), run: n.admin.Run, drain: n.admin.Drain}},
-		{serviceEndpoint, &unit{open: plainOpen(e.Open), run: e.Run, drain: e.Drain}},
+		{serviceAdmin, &unit{open: adaptOpen(n.adminServer.Open), run: n.adminServer.Run, drain: n.adminServer.Drain}},
+		{serviceEndpoint, &unit{open: adaptOpen(e.Open), run: e.Run, drain: e.Drain}},
 	})
 }
 
-// RunHosted runs a node until ctx ends. It then says that it is not ready and
-// serves on until callers have noticed, and stops gracefully.
+// RunHosted runs a node until ctx ends. The node then reports that it is not ready, goes
+// on serving for a lame-duck period, and stops gracefully.
 func RunHosted(ctx context.Context, h Hosted, output io.Writer) error {
 	debug.SetGCPercent(hostedGCPercent)
 	n, err := NewHosted(h, output)
@@ -231,14 +233,15 @@
 	if err := n.Stop(grace); !errors.Is(err, context.DeadlineExceeded) {
 		return err
 	}
-	return nil // the time for a graceful stop is over
+	return nil // the time for a graceful stop is over, which is not an error
 }
 
-// lameDuck goes on serving callers and the other nodes for a while; near its end, it
-// tells the other nodes to send their calls elsewhere. The target beside the node is
-// out of service from then until the next start, so the time is kept short.
+// lameDuck goes on serving callers and other nodes for d. stopAdmitMillis before the end
+// it announces that the local target is draining, so that other nodes route their calls
+// elsewhere. The target is out of service from then until the next start, so this part is
+// kept short.
 func (n *Node) lameDuck(ctx context.Context, d clock.Millis) {
-	sleep(ctx, max(d-gateMillis, 0).Duration())
-	n.targets.announceStop()
-	sleep(ctx, min(d, gateMillis).Duration())
+	sleep(ctx, max(d-stopAdmitMillis, 0).Duration())
+	n.localTarget.announceDraining()
+	sleep(ctx, min(d, stopAdmitMillis).Duration())
 }
--- a/io/node/hosted_test.go
+++ b/io/node/hosted_test.go
@@ -24,51 +24,51 @@
 )
 
 type (
-	// hosts is a platform for hosted nodes: a source with one release, a directory
-	// and endpoints that do nothing.
-	hosts struct {
+	// hostedPlatform is a simulated platform for hosted nodes. It implements plat.Source
+	// with one release and plat.Directory, and its endpoints do nothing.
+	hostedPlatform struct {
+		// mu guards the fields below.
+		mu      sync.Mutex
 		release model.Release
-		// down makes the source and the directory fail.
-		down bool
-
-		mu    sync.Mutex
-		seeds map[ident.NodeID]member.Seed
-		// newer is closed when the release changes.
-		newer chan struct{}
-		// waits counts the answers to waits for a change, and reads those of the
-		// newest release.
+		// newestFails makes reads of the newest release fail.
+		newestFails bool
+		seeds       map[ident.NodeID]member.Seed
+		// changed is closed when the release changes.
+		changed chan struct{}
+		// waits counts the waits for a change that returned a release, and reads the
+		// successful reads of the newest release.
 		waits, reads int
-		// controls are those of the nodes, in order of their start.
+		// controls holds the Control of each node, in order of their start.
 		controls []Control
 	}
 
-	// quietEndpoint is an endpoint without a server.
-	quietEndpoint struct{}
+	// noopEndpoint is an endpoint without a server.
+	noopEndpoint struct{}
 )
 
-func (quietEndpoint) Open() error { return nil }
+func (noopEndpoint) Open() error { return nil }
 
-func (quietEndpoint) Run(ctx context.Context) error {
+func (noopEndpoint) Run(ctx context.Context) error {
 	<-ctx.Done()
 	return nil
 }
 
-func (quietEndpoint) Drain(context.Context) error { return nil }
+func (noopEndpoint) Drain(context.Context) error { return nil }
 
-func (h *hosts) Newest(context.Context) (model.Release, ident.Revision, error) {
+func (h *hostedPlatform) Newest(context.Context) (model.Release, ident.Revision, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.down {
+	if h.newestFails {
 		return model.Release{}, 0, plat.ErrNotFound
 	}
 	h.reads++
 	return h.release, ident.Revision(h.release.Version), nil
 }
 
-func (h *hosts) Next(ctx context.Context, after ident.Revision) (model.Release, ident.Revision, error) {
+func (h *hostedPlatform) Next(ctx context.Context, after ident.Revision) (model.Release, ident.Revision, error) {
 	for {
 		h.mu.Lock()
-		r, newer := h.release, h.newer
+		r, changed := h.release, h.changed
 		if ident.Revision(r.Version) > after {
 			h.waits++
 			h.mu.Unlock()
@@ -78,13 +78,13 @@
 		select {
 		case <-ctx.Done():
 			return model.Release{}, after, ctx.Err()
-		case <-newer:
+		case <-changed:
 		}
 	}
 }
 
-// publish puts a release with another timeout at the source.
-func (h *hosts) publish(t *testing.T) {
+// publish replaces the release of the source by one with another timeout.
+func (h *hostedPlatform) publish(t *testing.T) {
 	t.Helper()
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -96,18 +96,18 @@
 		t.Fatal(err)
 	}
 	h.release = r
-	close(h.newer)
-	h.newer = make(chan struct{})
+	close(h.changed)
+	h.changed = make(chan struct{})
 }
 
-func (h *hosts) Enter(_ context.Context, s member.Seed) error {
+func (h *hostedPlatform) Enter(_ context.Context, s member.Seed) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.seeds[s.Node] = s
 	return nil
 }
 
-func (h *hosts) Nodes(context.Context) ([]member.Seed, error) {
+func (h *hostedPlatform) Nodes(context.Context) ([]member.Seed, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []member.Seed
@@ -117,8 +117,8 @@
 	return out, nil
 }
 
-// newHosts returns a platform whose release has one route to the service orders.
-func newHosts(t *testing.T) *hosts {
+// newHostedPlatform returns a platform whose release has one route, to the service orders.
+func newHostedPlatform(t *testing.T) *hostedPlatform {
 	t.Helper()
 	r, err := model.NewRelease(1, "e", model.Configuration{
 		Inventory: model.Inventory{Services: []model.Service{{Name: "orders", Connections: 9, TargetSlots: true}}},
@@ -130,11 +130,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &hosts{release: r, seeds: make(map[ident.NodeID]member.Seed), newer: make(chan struct{})}
+	return &hostedPlatform{release: r, seeds: make(map[ident.NodeID]member.Seed), changed: make(chan struct{})}
 }
 
-// start starts a hosted node; it stops with the test unless it has stopped before.
-func (h *hosts) start(t *testing.T, id ident.NodeID) (*Node, *conf.Settings) {
+// start starts a hosted node, which the test has to stop.
+func (h *hostedPlatform) start(t *testing.T, id ident.NodeID) (*Node, *conf.Settings) {
 	t.Helper()
 	s, err := conf.Parse(`Node = "` + string(id) + `"
 FailureDomain = "d"
@@ -156,7 +156,7 @@
 			h.mu.Lock()
 			defer h.mu.Unlock()
 			h.controls = append(h.controls, c)
-			return quietEndpoint{}
+			return noopEndpoint{}
 		},
 	}, io.Discard)
 	if err != nil {
@@ -168,7 +168,7 @@
 	return n, &s
 }
 
-// await waits until ok.
+// await waits until ok returns true, and fails the test after 10 s.
 func await(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for range 1000 {
@@ -177,11 +177,11 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("%s did not come about", what)
+	t.Fatalf("not reached: %s", what)
 }
 
-// statement returns a report of a target.
-func statement(id ident.TargetID, address string, sequence uint64) admin.Report {
+// targetReport returns a report of a target of the service orders.
+func targetReport(id ident.TargetID, address string, sequence uint64) admin.Report {
 	return admin.Report{
 		Statement:    report.Statement{Target: id, Born: 1, Sequence: sequence},
 		Announcement: admin.Announcement{Target: id, Service: "orders", Address: address},
@@ -190,10 +190,10 @@
 }
 
 // TestHostedNodes guards against hosted nodes that do not find each other, against a
-// target that one of them cannot reach, and against a drain that lets work through.
+// target that one of them cannot reach, and against requests that run after a drain.
 func TestHostedNodes(t *testing.T) {
 	is := is.New(t)
-	h := newHosts(t)
+	h := newHostedPlatform(t)
 	a, _ := h.start(t, "a")
 	b, _ := h.start(t, "b")
 	target := http.Server{Addr: "127.0.0.1:0", Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -202,8 +202,8 @@
 	l := listen(t)
 	go func() { _ = target.Serve(l) }()
 	t.Cleanup(func() { _ = target.Close() })
-	is.NoErr(h.controls[1].Report(statement("t", l.Addr().String(), 1)))
-	await(t, "a target at the other node", func() bool { return a.Routable() == 1 && a.Ready() && b.Ready() })
+	is.NoErr(h.controls[1].Report(targetReport("t", l.Addr().String(), 1)))
+	await(t, "a target at the other node", func() bool { return a.RoutableTargets() == 1 && a.Ready() && b.Ready() })
 	get := func(n *Node) int {
 		req, err := http.NewRequest(http.MethodGet, "http://"+n.CallerAddress()+"/o/1", nil)
 		is.NoErr(err)
@@ -218,18 +218,18 @@
 	for _, n := range []*Node{a, b} {
 		await(t, "an answer of the target", func() bool { return get(n) == http.StatusOK })
 	}
-	drain := statement("t", l.Addr().String(), 2)
+	drain := targetReport("t", l.Addr().String(), 2)
 	drain.Draining = true
 	is.NoErr(h.controls[1].Report(drain))
 	is.Equal(get(a), http.StatusServiceUnavailable)
 	is.Equal(get(b), http.StatusServiceUnavailable)
-	is.NoErr(h.controls[1].Report(statement("t", l.Addr().String(), 1))) // late
+	is.NoErr(h.controls[1].Report(targetReport("t", l.Addr().String(), 1))) // late
 	is.Equal(get(b), http.StatusServiceUnavailable)
 	http.DefaultClient.CloseIdleConnections()
 	for _, n := range []*Node{a, b} {
 		began := time.Now()
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
-		is.NoErr(n.Stop(ctx)) // the source holds a question of each node
+		is.NoErr(n.Stop(ctx)) // while each node waits for a change of the source
 		cancel()
 		is.True(time.Since(began) < 5*time.Second)
 	}
@@ -239,11 +239,11 @@
 // another node has the release.
 func TestHostedWithoutSource(t *testing.T) {
 	is := is.New(t)
-	h := newHosts(t)
+	h := newHostedPlatform(t)
 	a, _ := h.start(t, "a")
 	await(t, "the release at the first node", a.Ready)
 	h.mu.Lock()
-	h.down = true
+	h.newestFails = true
 	h.mu.Unlock()
 	b, _ := h.start(t, "b")
 	await(t, "the release at the second node", b.Ready)
@@ -255,26 +255,26 @@
 	}
 }
 
-// TestFewNodesWatch guards against a fleet in which every node reads each change of
-// the source: on links of 7 Mbit/s, configurations in quick succession then take the
-// place of requests. It also guards against a node that misses a change because it
-// does not watch, or because those that watch have stopped.
+// TestFewNodesWatch guards against a fleet in which every node reads each change of the
+// source: configurations in quick succession then use up the bandwidth of links of 7 Mbit/s
+// that requests need. It also guards against a node that misses a change because it does
+// not wait for changes itself, or because the nodes that do have stopped.
 func TestFewNodesWatch(t *testing.T) {
 	is := is.New(t)
-	h := newHosts(t)
+	h := newHostedPlatform(t)
 	var nodes []*Node
 	for _, id := range []ident.NodeID{"a", "b", "c", "d", "e", "f"} {
 		n, _ := h.start(t, id)
 		nodes = append(nodes, n)
 	}
-	stop := func(list []*Node) {
+	stopAll := func(list []*Node) {
 		for _, n := range list {
 			ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 			is.NoErr(n.Stop(ctx))
 			cancel()
 		}
 	}
-	hold := func(list []*Node, v ident.Version) func() bool {
+	allHold := func(list []*Node, v ident.Version) func() bool {
 		return func() bool {
 			return !slices.ContainsFunc(list, func(n *Node) bool { return n.Version() != v })
 		}
@@ -287,24 +287,25 @@
 	await(t, "a whole fleet", func() bool {
 		return !slices.ContainsFunc(nodes, func(n *Node) bool { return size(n) != len(nodes) })
 	})
-	await(t, "the first release", hold(nodes, 1))
-	// The waits that began before the nodes knew each other end with the first change.
+	await(t, "the first release", allHold(nodes, 1))
+	// Nodes that had started to wait before they knew each other return from that wait with
+	// the first change.
 	h.publish(t)
-	await(t, "the second release", hold(nodes, 2))
-	time.Sleep((settleMillis + 2*dutyMillis).Duration())
+	await(t, "the second release", allHold(nodes, 2))
+	time.Sleep((coalesceMillis + 2*watchCheckMillis).Duration())
 	h.mu.Lock()
 	h.waits, h.reads = 0, 0
 	h.mu.Unlock()
 	h.publish(t)
-	await(t, "the third release", hold(nodes, 3))
-	time.Sleep((settleMillis + 2*dutyMillis).Duration())
+	await(t, "the third release", allHold(nodes, 3))
+	time.Sleep((coalesceMillis + 2*watchCheckMillis).Duration())
 	h.mu.Lock()
 	is.True(h.waits >= 1 && h.waits <= watchersPerDomain)
 	h.mu.Unlock()
-	stop(nodes[:3])
+	stopAll(nodes[:3])
 	h.publish(t)
-	await(t, "the fourth release", hold(nodes[3:], 4))
-	stop(nodes[3:])
+	await(t, "the fourth release", allHold(nodes[3:], 4))
+	stopAll(nodes[3:])
 }
 
 // listen binds a loopback address until the test ends.
--- a/io/node/lifecycle.go
+++ b/io/node/lifecycle.go
@@ -10,22 +10,22 @@
 	"hickoryrail/io/conf"
 )
 
-// register gives the parts to the kernel in the order of their start. They stop
-// in reverse: first the servers, then requests in flight, then the lease and the
-// membership, and last the transport and the log.
+// register registers the services with the kernel in the order of their start. They stop
+// in reverse order: the servers, the requests in flight, the lease, the membership, and
+// at last the transport and the log.
 func (n *Node) register() error {
 	return n.registerAll([]service{
 		{serviceLog, &unit{run: n.decisions.Run}},
-		{serviceTransport, &unit{open: plainOpen(n.transport.Open), run: n.transport.Run, drain: n.transport.Drain}},
-		{serviceStalls, &unit{run: n.stalls.run}},
-		{serviceGateway, &unit{open: plainOpen(n.gateway.Open), run: n.gateway.Run}},
-		{serviceIngress, &unit{open: plainOpen(n.ingress.Open), run: n.ingress.Run}},
+		{serviceTransport, &unit{open: adaptOpen(n.transport.Open), run: n.transport.Run, drain: n.transport.Drain}},
+		{serviceStalls, &unit{run: n.stallMonitor.run}},
+		{serviceGateway, &unit{open: adaptOpen(n.gateway.Open), run: n.gateway.Run}},
+		{serviceIngress, &unit{open: adaptOpen(n.ingress.Open), run: n.ingress.Run}},
 		{serviceFleet, &unit{open: n.openFleet, run: n.fleet.run, drain: n.fleet.leave}},
 		{serviceReader, &unit{run: n.reader.run}},
-		{serviceLapse, &unit{run: n.targets.run, drain: n.drainCalls}},
-		{serviceTargets, &unit{open: plainOpen(n.announce.Open), run: n.announce.Run, drain: n.announce.Drain}},
-		{serviceAdmin, &unit{open: plainOpen(n.admin.Open), run: n.admin.Run, drain: n.admin.Drain}},
-		{serviceOperators, &unit{open: plainOpen(n.operators.Open), run: n.operators.Run, drain: n.operators.Drain}},
+		{serviceRenewal, &unit{run: n.localTarget.run, drain: n.drainRequests}},
+		{serviceTargets, &unit{open: adaptOpen(n.targetServer.Open), run: n.targetServer.Run, drain: n.targetServer.Drain}},
+		{serviceAdmin, &unit{open: adaptOpen(n.adminServer.Open), run: n.adminServer.Run, drain: n.adminServer.Drain}},
+		{serviceOperators, &unit{open: adaptOpen(n.operatorServer.Open), run: n.operatorServer.Run, drain: n.operatorServer.Drain}},
 	})
 }
 
@@ -45,18 +45,18 @@
 	return nil
 }
 
-// plainOpen adapts an Open method that needs no other service.
-func plainOpen(open func() error) func(*kernel.Kernel) error {
+// adaptOpen adapts an Open method that does not need the kernel.
+func adaptOpen(open func() error) func(*kernel.Kernel) error {
 	return func(*kernel.Kernel) error { return open() }
 }
 
-// drainCalls lets the requests in flight finish: those of callers here, then
+// drainRequests lets the requests in flight finish: first those of local callers, then
 // those of other nodes at the gate.
-func (n *Node) drainCalls(ctx context.Context) error {
+func (n *Node) drainRequests(ctx context.Context) error {
 	return errors.Join(n.ingress.Drain(ctx), n.gateway.Drain(ctx))
 }
 
-// Start starts the node; it returns once every server listens.
+// Start starts the node and returns once every server listens.
 func (n *Node) Start(ctx context.Context) error {
 	if err := n.kernel.Start(ctx); err != nil {
 		return err
@@ -68,11 +68,11 @@
 	return nil
 }
 
-// Stop stops the node gracefully, at most until ctx ends: new work is refused as
-// not run, requests in flight finish, and the fleet is told.
+// Stop stops the node gracefully, at most until ctx ends: new requests are refused with
+// the verdict NotRun, requests in flight finish, and the fleet is notified.
 func (n *Node) Stop(ctx context.Context) error {
 	n.stopping.Store(true)
-	n.targets.stop()
+	n.localTarget.stop()
 	err := n.kernel.Stop(ctx)
 	n.logger.WithField("Node", string(n.settings.Node)).Info("node stopped")
 	return err
@@ -101,18 +101,18 @@
 func (n *Node) CallerAddress() string { return n.ingress.Address() }
 
 // TargetAddress returns host:port for the target, known after Start.
-func (n *Node) TargetAddress() string { return n.announce.Address() }
+func (n *Node) TargetAddress() string { return n.targetServer.Address() }
 
 // AdminAddress returns host:port for metrics and health, known after Start.
-func (n *Node) AdminAddress() string { return n.admin.Address() }
+func (n *Node) AdminAddress() string { return n.adminServer.Address() }
 
 // OperatorAddress returns host:port for operators, known after Start.
-func (n *Node) OperatorAddress() string { return n.operators.Address() }
+func (n *Node) OperatorAddress() string { return n.operatorServer.Address() }
 
 // PeerAddress returns host:port for other nodes, known after Start.
 func (n *Node) PeerAddress() string { return n.transport.Address() }
 
-// Version returns the version of the release in force, or 0.
+// Version returns the version of the release in force, or 0 if there is none.
 func (n *Node) Version() ident.Version {
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
@@ -124,15 +124,14 @@
 	return len(n.status.Status().Reasons) == 0
 }
 
-// ControlBytes returns the bytes that the node's own control traffic sent and
-// received.
+// ControlBytes returns the bytes of control traffic that the node sent and received.
 func (n *Node) ControlBytes() (sent, received ident.Bytes) {
 	t := n.transport.ControlTraffic()
 	return t.Sent, t.Received
 }
 
-// Routable returns the number of targets of all services that the node routes to.
-func (n *Node) Routable() int {
+// RoutableTargets returns the number of routable targets of all services.
+func (n *Node) RoutableTargets() int {
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
 	count := 0
--- a/io/node/load_test.go
+++ b/io/node/load_test.go
@@ -11,14 +11,14 @@
 	"hickoryrail/io/target"
 )
 
-// newLoad starts callers, each with the paths and nodes in turn.
-func newLoad(callers int, path string, nodes ...*slot) *load {
+// startLoad starts callers that send actions to a path, each to the nodes in turn.
+func startLoad(callers int, path string, nodes ...*testNode) *load {
 	l := &load{replies: make(map[string]reply)}
 	for i := range callers {
 		l.group.Go(func() {
 			transport := &http.Transport{}
 			defer transport.CloseIdleConnections()
-			client := &http.Client{Transport: transport, Timeout: patience}
+			client := &http.Client{Transport: transport, Timeout: waitTimeout}
 			for n := 0; !l.stop.Load(); n++ {
 				action := fmt.Sprintf("%d-%d", i, n)
 				l.add(action, call(client, nodes[(i+n)%len(nodes)].CallerAddress(), path, action))
@@ -41,16 +41,16 @@
 	}
 }
 
-// more waits for further answers.
-func (l *load) more(r *rig, n int64) {
-	r.t.Helper()
+// awaitAnswers waits until n more actions have been answered.
+func (l *load) awaitAnswers(fleet *testFleet, n int64) {
+	fleet.t.Helper()
 	from := l.answered.Load()
-	r.await("further answers", func() bool { return l.answered.Load() >= from+n })
+	fleet.await("more answers", func() bool { return l.answered.Load() >= from+n })
 }
 
-// end ends the callers and compares their replies with the targets' runs. Without
-// uncertain, every action that ran must have been answered.
-func (l *load) end(t *testing.T, uncertain bool, targets ...*target.Server) {
+// stopAndCheck stops the callers and compares their replies with the runs at the targets.
+// Unless uncertain is set, every action that ran must have been answered.
+func (l *load) stopAndCheck(t *testing.T, uncertain bool, targets ...*target.Server) {
 	t.Helper()
 	l.stop.Store(true)
 	l.group.Wait()
@@ -73,7 +73,7 @@
 	t.Logf("replies by verdict: %v", counts)
 }
 
-// call sends an action; its id is its body, which the target's answer repeats.
+// call sends an action with its id as the body, which the target returns.
 func call(client *http.Client, address, path, action string) reply {
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+path, strings.NewReader(action))
 	if err != nil {
--- a/io/node/metrics.go
+++ b/io/node/metrics.go
@@ -10,11 +10,11 @@
 type (
 	// metrics are the node's own counters and gauges.
 	metrics struct {
-		version         prometheus.Gauge
-		malformed       prometheus.Counter
-		refusedReleases prometheus.Counter
-		holdsLease      prometheus.Gauge
-		sourceErrors    prometheus.Counter
+		version          prometheus.Gauge
+		malformedControl prometheus.Counter
+		refusedReleases  prometheus.Counter
+		holdsLease       prometheus.Gauge
+		sourceErrors     prometheus.Counter
 	}
 
 	// memberCollector counts the known nodes by state at each scrape.
@@ -27,27 +27,27 @@
 // newMetrics creates the metrics.
 func newMetrics() *metrics {
 	return &metrics{
-		version:         stats.Gauge("release_version", "Version of the release in force; 0 means none."),
-		malformed:       stats.Counter("control_malformed_total", "Control messages that could not be encoded or decoded."),
-		refusedReleases: stats.Counter("releases_refused_total", "Releases refused because they were not whole and valid."),
-		holdsLease:      stats.Gauge("lease_held", "1 while this node is the reader of its region."),
-		sourceErrors:    stats.Counter("source_errors_total", "Failed calls to the platform by the reader and at start."),
+		version:          stats.Gauge("release_version", "Version of the release in force; 0 means none."),
+		malformedControl: stats.Counter("control_malformed_total", "Control messages that could not be encoded or decoded."),
+		refusedReleases:  stats.Counter("releases_refused_total", "Releases refused because they were not whole and valid."),
+		holdsLease:       stats.Gauge("lease_held", "1 while this node is the reader of its region."),
+		sourceErrors:     stats.Counter("source_errors_total", "Failed calls to the platform by the reader and at start."),
 	}
 }
 
-// register registers the metrics and the count of members.
+// register registers the metrics and a collector that counts the members of f.
 func (m *metrics) register(r prometheus.Registerer, f *fleet) error {
 	members := &memberCollector{fleet: f, description: prometheus.NewDesc(
 		"hickoryrail_members", "Known nodes by state.", []string{"state"}, nil)}
-	return stats.Register(r, m.version, m.malformed, m.refusedReleases, m.holdsLease, m.sourceErrors, members)
+	return stats.Register(r, m.version, m.malformedControl, m.refusedReleases, m.holdsLease, m.sourceErrors, members)
 }
 
-// Describe sends the description of the count.
+// Describe implements prometheus.Collector.
 func (c *memberCollector) Describe(out chan<- *prometheus.Desc) {
 	out <- c.description
 }
 
-// Collect sends the count of each state.
+// Collect implements prometheus.Collector. It sends the number of nodes in each state.
 func (c *memberCollector) Collect(out chan<- prometheus.Metric) {
 	var counts [member.Left + 1]int
 	for _, r := range c.fleet.records() {
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -1,4 +1,5 @@
-// Package node wires the parts of one node together through the kernel.
+// Package node assembles the components of one node and runs them as services of the
+// kernel.
 package node
 
 import (
@@ -44,20 +45,21 @@
 	serviceReader    kernel.Name = "reader"
 	serviceIngress   kernel.Name = "ingress"
 	serviceTargets   kernel.Name = "target server"
-	serviceLapse     kernel.Name = "target renewal"
+	serviceRenewal   kernel.Name = "target renewal"
 	serviceAdmin     kernel.Name = "admin server"
 	serviceOperators kernel.Name = "operator server"
 )
 
 const (
-	// logCapacity is the number of decisions that wait to be written.
+	// logCapacity bounds the decisions that are buffered for the decision log.
 	logCapacity = 8192
-	// silentPulses is the number of pulse periods without progress after which a
-	// node contends for the lease.
-	silentPulses = 3
-	// startSpreadMillis spreads the first reads of nodes that start together: 790
-	// of them read 1,317 times a second, below the 2,000 that the source takes.
-	startSpreadMillis = 600 * clock.Millis(1)
+	// missedPulses is the number of pulse periods without a new pulse of the region's
+	// reader after which a node contends for the lease.
+	missedPulses = 3
+	// startJitterMillis is the interval over which the first reads of nodes that start
+	// at the same time are spread: 790 nodes make 1,317 reads/s, below the 2,000 reads/s
+	// that the source accepts.
+	startJitterMillis = 600 * clock.Millis(1)
 )
 
 // Node is one node. Create it with New.
@@ -71,21 +73,21 @@
 	registry  *prometheus.Registry
 	metrics   *metrics
 	clock     clock.Clock
-	// tableRandom is for the member table, which is created once the peer
-	// address is known.
+	// tableRandom is the random generator of the member table, which is created once
+	// the peer address is known.
 	tableRandom *rand.Rand
 
-	transport transport
-	stalls    *stalls
-	fleet     *fleet
-	gateway   *proxy.Gateway
-	reader    *reader
-	ingress   *proxy.Ingress
-	targets   *targets
-	status    *status
-	admin     *admin.Admin
-	announce  *admin.Targets
-	operators *admin.Operators
+	transport      transport
+	stallMonitor   *stallMonitor
+	fleet          *fleet
+	gateway        *proxy.Gateway
+	reader         *reader
+	ingress        *proxy.Ingress
+	localTarget    *localTarget
+	status         *status
+	adminServer    *admin.Admin
+	targetServer   *admin.Targets
+	operatorServer *admin.Operators
 }
 
 // transport carries calls and control messages between nodes.
@@ -101,8 +103,8 @@
 	CloseConnection(id peer.ConnectionID)
 }
 
-// New loads the node's keys and wires its parts. The log goes to output as JSON
-// lines.
+// New loads the node's keys and assembles its components. The log is written to output
+// as JSON lines.
 func New(s conf.Settings, output io.Writer) (*Node, error) {
 	identity, err := keys.LoadIdentity(s.KeyDirectory, s.Node)
 	if err != nil {
@@ -134,7 +136,7 @@
 	return n, n.register()
 }
 
-// newRandom returns a generator with a seed of its own.
+// newRandom returns a generator with a cryptographically random seed.
 func newRandom() (*rand.Rand, error) {
 	var seed [16]byte
 	if _, err := crand.Read(seed[:]); err != nil {
@@ -143,28 +145,29 @@
 	return rand.New(rand.NewPCG(binary.LittleEndian.Uint64(seed[:8]), binary.LittleEndian.Uint64(seed[8:]))), nil
 }
 
-// fork returns another generator, since each state machine owns its own.
-func fork(r *rand.Rand) *rand.Rand {
+// splitRandom returns a generator seeded from r. Each state machine has its own, because
+// generators are not safe for concurrent use.
+func splitRandom(r *rand.Rand) *rand.Rand {
 	return rand.New(rand.NewPCG(r.Uint64(), r.Uint64()))
 }
 
 // wireDataPath creates the gateway, the ingress and the QUIC transport.
 func (n *Node) wireDataPath(identity keys.Identity, random *rand.Rand) {
-	n.wirePath(random)
+	n.wireProxy(random)
 	peerLimits := peer.DefaultLimits()
 	peerLimits.BodyBytes = n.gateway.Limits.CallBytes()
 	n.transport = &peer.Transport{
 		Self: n.settings.Node, Listen: n.settings.PeerAddress, Identity: identity, Registry: n.registry, Limits: peerLimits,
 		OnControl: func(from ident.NodeID, body []byte) { n.fleet.receive(from, body) },
 		OnCall:    n.onCall,
-		OnEvent:   n.stalls.event,
+		OnEvent:   n.stallMonitor.handleEvent,
 	}
-	n.stalls.transport, n.ingress.Peers = n.transport, n.transport
+	n.stallMonitor.transport, n.ingress.Peers = n.transport, n.transport
 }
 
-// wirePath creates the gateway, the stall detector and the ingress, without the
+// wireProxy creates the gateway, the stall detector and the ingress, without the
 // transport.
-func (n *Node) wirePath(random *rand.Rand) {
+func (n *Node) wireProxy(random *rand.Rand) {
 	s := n.settings
 	limits := proxy.Limits{BodyBytes: s.Limits.BodyBytes, HeaderBytes: s.Limits.HeaderBytes}
 	incarnation := ident.Incarnation(n.clock.Now())
@@ -172,11 +175,11 @@
 		Self: s.Node, Incarnation: incarnation, Clock: n.clock, Limits: limits,
 		QueueLength: s.Limits.QueueLength, Log: n.decisions, Registry: n.registry,
 	}
-	n.stalls = newStalls(n.clock, s.Stall.ProbeMillis, s.Stall.GiveUpMillis, n.decisions)
+	n.stallMonitor = newStallMonitor(n.clock, s.Stall.ProbeMillis, s.Stall.GiveUpMillis, n.decisions)
 	n.ingress = &proxy.Ingress{
 		Self: s.Node, Listen: s.CallerAddress, Clock: n.clock, Gateway: n.gateway,
-		Picker: &route.Picker{Self: s.Node, FailureDomain: s.FailureDomain, Region: s.Region, Rand: fork(random)},
-		Policy: &retry.Policy{Budget: &retry.Budget{}, Rand: fork(random)},
+		Picker: &route.Picker{Self: s.Node, FailureDomain: s.FailureDomain, Region: s.Region, Rand: splitRandom(random)},
+		Policy: &retry.Policy{Budget: &retry.Budget{}, Rand: splitRandom(random)},
 		Limits: limits, Log: n.decisions, Registry: n.registry,
 	}
 	if rate := s.Limits.CallerRequestsPerSecond; rate > 0 {
@@ -184,10 +187,10 @@
 	}
 }
 
-// onCall answers a call stream of another node.
+// onCall returns the response to a call of another node.
 func (n *Node) onCall(ctx context.Context, from ident.NodeID, body []byte) []byte {
 	if wire.IsHeldQuery(body) {
-		return n.status.answer()
+		return n.status.heldAnswer()
 	}
 	return n.gateway.OnCall(ctx, from, body)
 }
@@ -205,51 +208,51 @@
 	n.fleet = &fleet{
 		clock: n.clock, transport: n.transport, ingress: n.ingress, gateway: n.gateway,
 		log: n.decisions, service: s.Service, metrics: n.metrics,
-		releases: spread.New(distribution, fork(random)),
+		releases: spread.New(distribution, splitRandom(random)),
 	}
-	n.fleet.releases.OnRefuse = n.fleet.refused
+	n.fleet.releases.OnRefuse = n.fleet.releaseRefused
 	timing := lease.DefaultTiming()
 	timing.TTLMillis = s.Lease.TTLMillis
 	timing.RenewMillis = s.Lease.TTLMillis / 4
 	timing.MarginMillis = s.Lease.TTLMillis / 6
 	pulse := max(distribution.PulseMillis, distribution.RoundMillis)
-	timing.SilenceMillis = max(timing.SilenceMillis, silentPulses*pulse)
+	timing.SilenceMillis = max(timing.SilenceMillis, missedPulses*pulse)
 	n.reader = &reader{
 		clock: n.clock, region: s.Region, store: store, fleet: n.fleet, log: n.decisions, metrics: n.metrics,
 		submitter:  &plat.Submitter{Store: store, Clock: n.clock, Seed: random.Uint64()},
-		pollMillis: s.Spread.PollMillis, startMillis: s.Spread.StartSourceMillis,
-		delayMillis: startSpreadMillis * clock.Millis(random.Float64()),
-		wanted:      make(chan struct{}, 1), due: make(chan struct{}, 1),
+		pollMillis: s.Spread.PollMillis, startSourceMillis: s.Spread.StartSourceMillis,
+		startDelayMillis: startJitterMillis * clock.Millis(random.Float64()),
+		readRequest:      make(chan struct{}, 1), scheduledDue: make(chan struct{}, 1),
 	}
 	n.reader.keeper = &plat.Keeper{
 		Store: store, Clock: n.clock, Region: s.Region,
-		Lease:  &lease.Lease{Self: s.Node, Timing: timing, Rand: fork(random)},
-		OnHold: n.reader.held, OnLose: n.reader.lost,
+		Lease:  &lease.Lease{Self: s.Node, Timing: timing, Rand: splitRandom(random)},
+		OnHold: n.reader.leaseAcquired, OnLose: n.reader.leaseLost,
 	}
-	n.fleet.readRelease = func(ident.Version, ident.Digest) { n.reader.want() }
-	n.fleet.needSource = n.reader.want
-	n.targets = &targets{renewal: renewalMillis, clock: n.clock, gateway: n.gateway, fleet: n.fleet, log: n.decisions}
+	n.fleet.readRelease = func(ident.Version, ident.Digest) { n.reader.requestRead() }
+	n.fleet.needSource = n.reader.requestRead
+	n.localTarget = &localTarget{renewalTimeout: renewalTimeoutMillis, clock: n.clock, gateway: n.gateway, fleet: n.fleet, log: n.decisions}
 	n.status = &status{fleet: n.fleet, lease: n.reader.leaseStatus, stopping: n.stopping.Load}
-	n.tableRandom = fork(random)
+	n.tableRandom = splitRandom(random)
 	return nil
 }
 
 // wireServers creates the HTTP servers besides the ingress.
 func (n *Node) wireServers(identity keys.Identity, credential ident.Digest) {
 	s := n.settings
-	n.admin = &admin.Admin{Listen: s.AdminAddress, Metrics: n.registry, Source: n.status}
-	n.announce = &admin.Targets{Listen: s.TargetAddress, Target: s.Target, Service: s.Service, Control: n.targets}
-	n.operators = &admin.Operators{
+	n.adminServer = &admin.Admin{Listen: s.AdminAddress, Metrics: n.registry, Source: n.status}
+	n.targetServer = &admin.Targets{Listen: s.TargetAddress, Target: s.Target, Service: s.Service, Control: n.localTarget}
+	n.operatorServer = &admin.Operators{
 		Listen: s.OperatorAddress, Certificate: identity.Certificate, Credential: credential, Source: n.status,
 		Registry: n.registry,
-		Control:  &edits{clock: n.clock, store: n.reader.store, submitter: n.reader.submitter, accepted: n.reader.accepted},
+		Control:  &editControl{clock: n.clock, store: n.reader.store, submitter: n.reader.submitter, onAccepted: n.reader.headAccepted},
 	}
 }
 
-// openFleet creates the member table with the bound peer address.
+// openFleet creates the member table, which needs the bound peer address.
 func (n *Node) openFleet(*kernel.Kernel) error {
 	s := n.settings
-	address, err := advertised(s.AdvertiseAddress, n.transport.Address())
+	address, err := advertisedAddress(s.AdvertiseAddress, n.transport.Address())
 	if err != nil {
 		return err
 	}
@@ -268,13 +271,13 @@
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
 	n.fleet.table = member.New(self, config, n.tableRandom)
-	n.fleet.table.OnChange = n.fleet.changed
+	n.fleet.table.OnChange = n.fleet.memberChanged
 	return nil
 }
 
-// advertised returns the address that peers use. A configured port of 0 stands
-// for the bound one.
-func advertised(configured, bound string) (string, error) {
+// advertisedAddress returns the address that peers use. It is the bound address if none
+// is configured; a configured port of 0 is replaced by the bound port.
+func advertisedAddress(configured, bound string) (string, error) {
 	b, err := netip.ParseAddrPort(bound)
 	if err != nil {
 		return "", eris.Wrap(err, "node: peer address")
--- a/io/node/reader.go
+++ b/io/node/reader.go
@@ -17,29 +17,29 @@
 )
 
 const (
-	// readerTick is the period at which the lease and the poll are checked.
+	// readerTick is the period of the reader's timer.
 	readerTick = 200 * time.Millisecond
-	// maxBackoff bounds the delay between polls of a source that fails.
+	// maxBackoff bounds the delay before the next poll after failed ones.
 	maxBackoff = 5 * clock.Second
 	// callTimeout bounds one call to the platform by the reader.
 	callTimeout = 2 * time.Second
-	// startRetry is the period at which a starting node asks the source again.
-	startRetry = time.Second
-	// peerWait is how long a starting node lets peers tell what they hold once
-	// the source has not answered: two probe periods.
-	peerWait = 2 * time.Second
+	// startRetryPeriod is the time between a starting node's attempts to find the floor.
+	startRetryPeriod = time.Second
+	// peerFloorWait is how long a starting node whose source has not answered waits for
+	// the versions that peers hold: two probe periods.
+	peerFloorWait = 2 * time.Second
 )
 
-// Reasons of leases and floors.
+// Reasons of logged lease and floor decisions.
 const (
-	reasonLeaseHeld   = "lease of the region taken"
-	reasonLeaseLost   = "lease of the region lost"
-	reasonFloorSource = "version floor read from the source"
-	reasonFloorPeers  = "source did not answer; version floor taken from peers"
+	reasonLeaseAcquired = "lease of the region taken"
+	reasonLeaseLost     = "lease of the region lost"
+	reasonFloorSource   = "version floor read from the source"
+	reasonFloorPeers    = "source did not answer; version floor taken from peers"
 )
 
-// reader takes part in the region's lease, polls the source while it holds the
-// lease, and finds the version floor at start.
+// reader contends for the region's lease, polls the source while it holds the lease, and
+// finds the version floor at start.
 type reader struct {
 	clock     clock.Clock
 	region    ident.Region
@@ -48,46 +48,46 @@
 	fleet     *fleet
 	log       logs.Sink
 	metrics   *metrics
-	// pollMillis is the period of polls, and startMillis the wait for the source
-	// at start.
-	pollMillis  clock.Millis
-	startMillis clock.Millis
-	// delayMillis delays the first read, so that nodes that start together do
-	// not read together.
-	delayMillis clock.Millis
+	// pollMillis is the period of polls, and startSourceMillis the time after which a
+	// starting node gets the floor from peers if the source has not answered.
+	pollMillis        clock.Millis
+	startSourceMillis clock.Millis
+	// startDelayMillis delays the first read, so that nodes that start at the same time
+	// spread their reads.
+	startDelayMillis clock.Millis
 
 	keeper *plat.Keeper
-	// lastPulse is the last progress of the pulse that the lease was told of.
+	// lastPulse is the time of the last pulse that was passed to keeper.
 	lastPulse clock.Millis
-	// nextPoll is when to poll next, and backoff the delay after a failure.
+	// nextPoll is the time of the next poll, and backoff the delay after a failed one.
 	nextPoll clock.Millis
 	backoff  clock.Millis
 
-	// epoch is that of the lease while this node holds it, or 0.
+	// epoch is the epoch of the lease while this node holds it, or 0.
 	epoch atomic.Uint64
 
-	// wanted holds one request for a release of the source.
-	wanted chan struct{}
-	// due holds one request to accept scheduled edits.
-	due chan struct{}
+	// readRequest holds at most one request to read the newest release.
+	readRequest chan struct{}
+	// scheduledDue holds at most one request to accept the scheduled edits that are due.
+	scheduledDue chan struct{}
 }
 
-// run takes part in the lease until ctx ends.
+// run runs the reader until ctx ends.
 func (r *reader) run(ctx context.Context) error {
 	var wg conc.WaitGroup
 	defer wg.Wait()
 	wg.Go(func() { r.findFloor(ctx) })
-	wg.Go(func() { r.fetchWanted(ctx) })
-	wg.Go(func() { r.acceptDue(ctx) })
+	wg.Go(func() { r.serveReadRequests(ctx) })
+	wg.Go(func() { r.acceptScheduled(ctx) })
 	wg.Go(func() { _ = every(ctx, readerTick, func() { r.tick(ctx) }) })
 	return r.keeper.Run(ctx)
 }
 
-// tick tells the lease of the fleet and of the pulse of the region's reader, and
-// polls if this node is the reader and a poll is due.
+// tick passes the region's size and the pulse of its reader to the lease, and polls the
+// source if this node is the reader and a poll is due.
 func (r *reader) tick(ctx context.Context) {
 	now := r.clock.Now()
-	r.keeper.SetFleet(r.fleet.size(r.region))
+	r.keeper.SetFleet(r.fleet.regionSize(r.region))
 	if progress := now - r.fleet.pulseAge(r.region); progress > r.lastPulse {
 		r.lastPulse = progress
 		r.keeper.Pulse()
@@ -97,22 +97,22 @@
 	}
 }
 
-// held notes that this node took the lease.
-func (r *reader) held(e ident.Epoch) {
+// leaseAcquired records that this node acquired the lease.
+func (r *reader) leaseAcquired(e ident.Epoch) {
 	r.epoch.Store(uint64(e))
 	r.metrics.holdsLease.Set(1)
-	r.note(reasonLeaseHeld)
+	r.logDecision(reasonLeaseAcquired)
 }
 
-// lost notes that this node lost the lease or gave it up.
-func (r *reader) lost(ident.Epoch) {
+// leaseLost records that this node lost or released the lease.
+func (r *reader) leaseLost(ident.Epoch) {
 	r.epoch.Store(0)
 	r.metrics.holdsLease.Set(0)
-	r.note(reasonLeaseLost)
+	r.logDecision(reasonLeaseLost)
 }
 
-// leaseStatus returns the lease as far as this node knows it: only the holder is
-// sure of its epoch.
+// leaseStatus returns the lease if this node holds it, and the zero value otherwise: only
+// the holder knows the current epoch for certain.
 func (r *reader) leaseStatus() admin.LeaseStatus {
 	if epoch := r.epoch.Load(); epoch > 0 {
 		return admin.LeaseStatus{Holder: r.keeper.Lease.Self, Epoch: ident.Epoch(epoch)}
@@ -120,7 +120,7 @@
 	return admin.LeaseStatus{}
 }
 
-// poll reads the head and tells the fleet; after a failure it backs off.
+// poll reads the head and passes it to the fleet. After a failure it backs off.
 func (r *reader) poll(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -137,56 +137,56 @@
 	if revision > 0 {
 		r.fleet.sourceHead(head.Version, head.Digest)
 	}
-	signal(r.due)
+	signal(r.scheduledDue)
 }
 
-// acceptDue accepts scheduled edits whose time has come. It runs apart from the
-// lease, because an acceptance can take longer than a renewal may wait.
-func (r *reader) acceptDue(ctx context.Context) {
+// acceptScheduled accepts scheduled edits that are due. It runs in a goroutine of its own
+// because an acceptance can take longer than a renewal of the lease may wait.
+func (r *reader) acceptScheduled(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.due:
+		case <-r.scheduledDue:
 		}
 		outcomes, err := r.submitter.AcceptDue(ctx)
 		if err != nil && ctx.Err() == nil {
 			r.metrics.sourceErrors.Inc()
 		}
 		for _, o := range outcomes {
-			r.accepted(o.Head)
+			r.headAccepted(o.Head)
 		}
 	}
 }
 
-// accepted tells the fleet of a head that this node wrote.
-func (r *reader) accepted(h order.Head) {
+// headAccepted passes a head that this node wrote to the fleet.
+func (r *reader) headAccepted(h order.Head) {
 	if h.Version > 0 {
 		r.fleet.sourceHead(h.Version, h.Digest)
 	}
 }
 
-// want asks for the newest release of the source. It does not block.
-func (r *reader) want() {
-	signal(r.wanted)
+// requestRead requests a read of the newest release. It does not block.
+func (r *reader) requestRead() {
+	signal(r.readRequest)
 }
 
-// fetchWanted reads the newest release whenever the fleet asks for one.
-func (r *reader) fetchWanted(ctx context.Context) {
+// serveReadRequests reads the newest release on each request until ctx ends.
+func (r *reader) serveReadRequests(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.wanted:
+		case <-r.readRequest:
 		}
-		if err := r.fetch(ctx); err != nil {
+		if err := r.readNewest(ctx); err != nil {
 			r.metrics.sourceErrors.Inc()
 		}
 	}
 }
 
-// fetch reads the head and its release and passes them on.
-func (r *reader) fetch(ctx context.Context) error {
+// readNewest reads the head and its release and passes them to the fleet.
+func (r *reader) readNewest(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	head, revision, err := plat.ReadHead(ctx, r.store)
@@ -195,7 +195,7 @@
 	}
 	release, err := plat.ReadRelease(ctx, r.store, order.HistoryOf(head))
 	if errors.Is(err, plat.ErrBadRelease) {
-		r.fleet.refused("", head.Version, err)
+		r.fleet.releaseRefused("", head.Version, err)
 	}
 	if err != nil {
 		return err
@@ -205,13 +205,14 @@
 	return nil
 }
 
-// findFloor finds the version below which this node must not go back: by a strong
-// read of the source, or from peers if the source does not answer in time.
+// findFloor sets the version floor, below which this node must not put a release in force.
+// It comes from a strong read of the source, or from peers if the source does not answer
+// within startSourceMillis.
 func (r *reader) findFloor(ctx context.Context) {
-	if !sleep(ctx, r.delayMillis.Duration()) {
+	if !sleep(ctx, r.startDelayMillis.Duration()) {
 		return
 	}
-	deadline := r.clock.Now() + r.startMillis
+	deadline := r.clock.Now() + r.startSourceMillis
 	for {
 		if r.floorFromSource(ctx) {
 			return
@@ -219,47 +220,47 @@
 		if r.clock.Now() >= deadline && r.floorFromPeers(ctx) {
 			return
 		}
-		if !sleep(ctx, startRetry) {
+		if !sleep(ctx, startRetryPeriod) {
 			return
 		}
 	}
 }
 
-// floorFromSource sets the floor by a strong read and reports success.
+// floorFromSource sets the floor from a strong read of the source and reports success.
 func (r *reader) floorFromSource(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, r.startMillis.Duration())
+	ctx, cancel := context.WithTimeout(ctx, r.startSourceMillis.Duration())
 	defer cancel()
 	head, _, err := plat.ReadHead(ctx, r.store)
 	if err != nil {
 		r.metrics.sourceErrors.Inc()
 		return false
 	}
-	r.note(reasonFloorSource)
+	r.logDecision(reasonFloorSource)
 	r.fleet.setFloor(head.Version)
 	return true
 }
 
-// floorFromPeers sets the floor to the highest version that peers know of, once
-// they had time to tell. Without a peer there is no floor.
+// floorFromPeers waits for messages of peers, sets the floor to the highest version that
+// they know of, and reports success. Without a live peer it sets no floor.
 func (r *reader) floorFromPeers(ctx context.Context) bool {
-	if _, known := r.fleet.peerFloor(); !known || !sleep(ctx, peerWait) {
+	if _, known := r.fleet.peerFloor(); !known || !sleep(ctx, peerFloorWait) {
 		return false
 	}
 	floor, known := r.fleet.peerFloor()
 	if !known {
 		return false
 	}
-	r.note(reasonFloorPeers)
+	r.logDecision(reasonFloorPeers)
 	r.fleet.setFloor(floor)
 	return true
 }
 
-// note writes a line to the decision log.
-func (r *reader) note(reason string) {
+// logDecision records a lease decision.
+func (r *reader) logDecision(reason string) {
 	r.log.Record(logs.Decision{At: r.clock.Now(), Kind: logs.Lease, Reason: reason})
 }
 
-// signal puts one request in c unless there is one already.
+// signal sends to c without blocking; a pending signal is enough.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -267,7 +268,7 @@
 	}
 }
 
-// sleep waits for d and reports whether ctx still lives.
+// sleep waits for d or until ctx ends, and reports whether d has passed.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/io/node/status.go
+++ b/io/node/status.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	// maxQueries bounds the concurrent questions to members.
+	// maxQueries bounds the concurrent queries to members.
 	maxQueries = 16
-	// queryTimeout bounds the questions of one request.
+	// queryTimeout bounds the queries of one request together.
 	queryTimeout = time.Second
 )
 
 // Reasons why a node is not ready.
 const (
-	reasonNoRelease = "no release in force"
-	reasonBelow     = "release in force is below the version floor, or the floor is not known"
-	reasonStopping  = "node stops"
+	reasonNoRelease  = "no release in force"
+	reasonBelowFloor = "release in force is below the version floor, or the floor is not known"
+	reasonStopping   = "node stops"
 )
 
-// status tells the state of the node and of the fleet.
+// status implements admin.StatusSource for the node and its fleet.
 type status struct {
 	fleet *fleet
-	// lease tells of the reader's lease; nil on a node without a reader.
+	// lease returns the state of the region's lease; nil on a node without a reader.
 	lease func() admin.LeaseStatus
 	// stopping reports whether the node is about to stop.
 	stopping func() bool
@@ -61,7 +61,8 @@
 	return out
 }
 
-// reasons says why the node is not ready. The caller holds the fleet's mu.
+// reasons returns the reasons why the node is not ready; none means that it is ready. The
+// caller holds the fleet's mu.
 func (s *status) reasons() []string {
 	var out []string
 	if s.stopping() {
@@ -71,14 +72,14 @@
 		out = append(out, reasonNoRelease)
 	}
 	if !s.fleet.releases.Ready() {
-		out = append(out, reasonBelow)
+		out = append(out, reasonBelowFloor)
 	}
 	return out
 }
 
-// Fleet returns every known node. Members other than neighbours do not tell what
-// they hold, so those that seem to be behind are asked; a member that does not
-// answer in time keeps the version that was last heard.
+// Fleet returns every known node. Only neighbours report the version that they hold
+// regularly, so members that seem to be behind are queried; for a member that does not
+// reply in time, the version that was received last is returned.
 func (s *status) Fleet() []admin.NodeStatus {
 	records, newest := s.records()
 	ctx, cancel := context.WithTimeout(context.Background(), queryTimeout)
@@ -90,22 +91,22 @@
 			Node: r.Node, FailureDomain: r.FailureDomain, Region: r.Region, State: r.State.String(), Held: r.Held,
 		}
 		if r.Held < newest && (r.State == member.Alive || r.State == member.Suspect) {
-			queries.Go(func() { out[i].Held = max(out[i].Held, s.ask(ctx, r)) })
+			queries.Go(func() { out[i].Held = max(out[i].Held, s.queryHeld(ctx, r)) })
 		}
 	}
 	queries.Wait()
 	return out
 }
 
-// records returns all records and the newest version that this node knows of.
+// records returns all member records and the newest version that this node knows of.
 func (s *status) records() ([]member.Record, ident.Version) {
 	records := s.fleet.records()
 	newest, _ := s.fleet.peerFloor()
 	return records, newest
 }
 
-// ask returns the version that a member has in force, or 0 without an answer.
-func (s *status) ask(ctx context.Context, r member.Record) ident.Version {
+// queryHeld returns the version that a member has in force, or 0 if it does not reply.
+func (s *status) queryHeld(ctx context.Context, r member.Record) ident.Version {
 	body, err := s.fleet.transport.Call(ctx, r.Node, r.PeerAddress, wire.HeldQuery())
 	if err != nil {
 		return 0
@@ -117,8 +118,8 @@
 	return held
 }
 
-// answer returns the version in force to a member that asks.
-func (s *status) answer() []byte {
+// heldAnswer returns the encoded reply to a query for the version in force.
+func (s *status) heldAnswer() []byte {
 	s.fleet.mu.Lock()
 	defer s.fleet.mu.Unlock()
 	return wire.EncodeHeld(s.fleet.inForce.Version)
--- a/io/node/watcher.go
+++ b/io/node/watcher.go
@@ -17,40 +17,44 @@
 )
 
 const (
-	// watchLeast and watchMost bound the pause after a failed call to the source.
-	watchLeast = 100 * clock.Millis(1)
-	watchMost  = 1 * clock.Second
-	// settleMillis is the pause after a release, so that one call brings the
-	// releases of a quick succession. It is well below the time in which a release
-	// must be in force.
-	settleMillis = 700 * clock.Millis(1)
-	// readMillis bounds a read of the source and a call to the directory.
-	readMillis = 2 * clock.Second
-	// lonelyMillis is the interval at which a node that knows no other reads the
-	// directory again.
-	lonelyMillis = 1 * clock.Second
+	// minSourceBackoff and maxSourceBackoff bound the delay after a failed call to the
+	// source or the directory.
+	minSourceBackoff = 100 * clock.Millis(1)
+	maxSourceBackoff = 1 * clock.Second
+	// coalesceMillis is the delay after a release before the next read, so that releases
+	// in quick succession are read with one call. It is well below the time in which a
+	// release must be in force.
+	coalesceMillis = 700 * clock.Millis(1)
+	// readTimeoutMillis bounds a read of the source and a call to the directory.
+	readTimeoutMillis = 2 * clock.Second
+	// aloneListMillis is the interval at which a node that knows no other live node reads
+	// the directory again.
+	aloneListMillis = 1 * clock.Second
 	// watchersPerDomain is the number of nodes in each failure domain that wait for
-	// changes of the source; the others get them as deltas from their neighbours. A
-	// fleet that loses one of them, or in which one is cut off, waits for nothing.
+	// changes of the source; the others get them as deltas from their neighbours. There
+	// are several, so that no release is delayed if one of them stops or is partitioned.
 	watchersPerDomain = 3
-	// dutyMillis is the interval at which a node looks whether it has to watch.
-	dutyMillis = 400 * clock.Millis(1)
-	// recheckMillis is the longest time without a read of the source.
-	recheckMillis = 60 * clock.Second
-	// successionMillis is the time between two changes below which only the newest
-	// release is read, because the source hands out each one that came in between.
-	successionMillis = 2 * clock.Second
+	// watchCheckMillis is the interval at which a node checks whether it has to wait for
+	// changes.
+	watchCheckMillis = 400 * clock.Millis(1)
+	// maxReadIntervalMillis bounds the time between reads of the source by a node that
+	// does not wait for changes.
+	maxReadIntervalMillis = 60 * clock.Second
+	// burstMillis is the time between two changes below which they count as a burst. In
+	// a burst only the newest release is read, because waiting for changes returns every
+	// intermediate release.
+	burstMillis = 2 * clock.Second
 )
 
-// Reasons of the watcher.
+// Reasons of logged decisions of the watcher.
 const (
 	reasonSourceLost  = "source does not answer"
 	reasonSourceFound = "source answers again"
 )
 
-// watcher follows the source of releases, and finds the other nodes by the directory.
-// Every node reads the newest release when it starts; a few nodes of each failure
-// domain also wait for changes.
+// watcher reads releases from the source and finds other nodes through the directory.
+// Every node reads the newest release when it starts; a few nodes of each failure domain
+// also wait for changes.
 type watcher struct {
 	clock     clock.Clock
 	source    plat.Source
@@ -59,29 +63,28 @@
 	log       logs.Sink
 	metrics   *metrics
 	random    *rand.Rand
-	// self returns the node's own entry for the directory.
+	// self returns the entry of this node in the directory.
 	self func() member.Seed
-	// startMillis is the wait for the source at start before peers give the
-	// floor.
-	startMillis clock.Millis
+	// startSourceMillis is the time after the start from which the floor may come from
+	// peers.
+	startSourceMillis clock.Millis
 
-	// wanted has an entry if the source has to be read at once; its capacity is 1.
-	wanted chan struct{}
+	// readRequest holds a request to read the source at once; its capacity is 1.
+	readRequest chan struct{}
 
 	// newest is the highest version that was read.
 	newest ident.Version
-	// changedAt is when the last release came from a wait for changes.
+	// changedAt is the time of the last release that a wait for changes returned.
 	changedAt clock.Millis
-	// succession says that changes follow each other quickly, so that only the
-	// newest is read.
-	succession bool
-	// lost says that the last call to the source failed.
-	lost bool
-	// pause is the present pause after a failure.
-	pause clock.Millis
+	// inBurst reports whether changes follow each other within burstMillis.
+	inBurst bool
+	// failing reports whether the last call to the source failed.
+	failing bool
+	// backoff is the delay after the last failed call; 0 after a successful one.
+	backoff clock.Millis
 }
 
-// run reads the source until ctx ends.
+// run registers the node in the directory and reads the source until ctx ends.
 func (w *watcher) run(ctx context.Context) error {
 	var wg conc.WaitGroup
 	defer wg.Wait()
@@ -90,76 +93,77 @@
 	started := w.clock.Now()
 	for ctx.Err() == nil {
 		after, ok := w.readNewest(ctx)
-		for ok && !w.succession && w.onDuty() {
+		for ok && !w.inBurst && w.shouldWatch() {
 			after, ok = w.readNext(ctx, after)
 		}
-		if w.succession {
+		if w.inBurst {
 			continue
 		}
-		if w.clock.Now()-started >= w.startMillis {
+		if w.clock.Now()-started >= w.startSourceMillis {
 			w.floorFromPeers()
 		}
-		w.rest(ctx)
+		w.awaitRead(ctx)
 	}
 	return ctx.Err()
 }
 
-// onDuty reports whether the node waits for changes of the source.
-func (w *watcher) onDuty() bool {
-	return !w.fleet.served() || w.fleet.leadsDomain(watchersPerDomain)
+// shouldWatch reports whether the node has to wait for changes of the source.
+func (w *watcher) shouldWatch() bool {
+	return !w.fleet.hasRelease() || w.fleet.leadsDomain(watchersPerDomain)
 }
 
-// rest waits until the node has to read the source: it has become one of those that
-// watch, its neighbours cannot provide a release, or it has not read for long.
-func (w *watcher) rest(ctx context.Context) {
-	until := w.clock.Now() + recheckMillis*clock.Millis(0.5+w.random.Float64()/2)
-	for !w.onDuty() && w.clock.Now() < until && ctx.Err() == nil {
+// awaitRead waits until the node has to read the source: because it now has to wait for
+// changes, because its neighbours cannot provide a release, or because
+// maxReadIntervalMillis, reduced at random by up to half, have passed.
+func (w *watcher) awaitRead(ctx context.Context) {
+	until := w.clock.Now() + maxReadIntervalMillis*clock.Millis(0.5+w.random.Float64()/2)
+	for !w.shouldWatch() && w.clock.Now() < until && ctx.Err() == nil {
 		select {
-		case <-w.wanted:
+		case <-w.readRequest:
 			return
-		case <-time.After(dutyMillis.Duration()):
+		case <-time.After(watchCheckMillis.Duration()):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// want asks for a read of the source. It does not block.
-func (w *watcher) want() {
+// requestRead requests a read of the source. It does not block.
+func (w *watcher) requestRead() {
 	select {
-	case w.wanted <- struct{}{}:
-	default: // asked for already
+	case w.readRequest <- struct{}{}:
+	default: // already requested
 	}
 }
 
-// readNewest reads the newest release and sets the floor. It settles after a change;
-// without one, a quick succession of changes is over.
+// readNewest reads the newest release and sets the floor. After a change it waits for
+// coalesceMillis; without one, a burst has ended.
 func (w *watcher) readNewest(ctx context.Context) (ident.Revision, bool) {
-	bounded, cancel := context.WithTimeout(ctx, readMillis.Duration())
+	readCtx, cancel := context.WithTimeout(ctx, readTimeoutMillis.Duration())
 	defer cancel()
 	select {
-	case <-w.wanted:
+	case <-w.readRequest:
 	default:
 	}
-	r, revision, err := w.source.Newest(bounded)
+	r, revision, err := w.source.Newest(readCtx)
 	if err != nil {
-		w.succession = false
-		w.failed(ctx)
+		w.inBurst = false
+		w.sourceFailed(ctx)
 		return 0, false
 	}
-	w.answered()
+	w.sourceAnswered()
 	changed := r.Version > w.newest
-	w.take(r)
+	w.handleRelease(r)
 	w.fleet.setFloor(r.Version)
 	if changed {
-		sleep(ctx, settleMillis.Duration())
+		sleep(ctx, coalesceMillis.Duration())
 	} else {
-		w.succession = false
+		w.inBurst = false
 	}
 	return revision, true
 }
 
-// readNext waits for a newer release. It returns false if the source has to be read
-// anew, because it has forgotten the changes.
+// readNext waits for a newer release. It returns false if the newest release has to be
+// read again, because the source no longer has the changes after that revision.
 func (w *watcher) readNext(ctx context.Context, after ident.Revision) (ident.Revision, bool) {
 	r, revision, err := w.source.Next(ctx, after)
 	switch {
@@ -168,22 +172,22 @@
 	case errors.Is(err, plat.ErrForgotten):
 		return after, false
 	case err != nil:
-		w.failed(ctx)
+		w.sourceFailed(ctx)
 		return after, true
 	}
-	w.answered()
-	w.take(r)
+	w.sourceAnswered()
+	w.handleRelease(r)
 	if r.Version == 0 {
 		return max(revision, after), true
 	}
 	now := w.clock.Now()
-	w.succession, w.changedAt = now-w.changedAt < successionMillis, now
-	sleep(ctx, settleMillis.Duration())
+	w.inBurst, w.changedAt = now-w.changedAt < burstMillis, now
+	sleep(ctx, coalesceMillis.Duration())
 	return max(revision, after), true
 }
 
-// take hands a release of the source to the fleet.
-func (w *watcher) take(r model.Release) {
+// handleRelease passes a release of the source to the fleet.
+func (w *watcher) handleRelease(r model.Release) {
 	if r.Version == 0 {
 		return
 	}
@@ -192,28 +196,28 @@
 	w.fleet.sourceRelease(r)
 }
 
-// failed counts a failed call and pauses, longer each time and at random, so that
-// nodes do not return together.
-func (w *watcher) failed(ctx context.Context) {
+// sourceFailed counts a failed call and waits for an exponential backoff with jitter, so
+// that nodes do not retry at the same time.
+func (w *watcher) sourceFailed(ctx context.Context) {
 	w.metrics.sourceErrors.Inc()
-	if !w.lost {
-		w.note(reasonSourceLost)
+	if !w.failing {
+		w.logDecision(reasonSourceLost)
 	}
-	w.lost = true
-	w.pause = min(max(2*w.pause, watchLeast), watchMost)
-	sleep(ctx, (w.pause * clock.Millis(0.5+w.random.Float64()/2)).Duration())
+	w.failing = true
+	w.backoff = min(max(2*w.backoff, minSourceBackoff), maxSourceBackoff)
+	sleep(ctx, (w.backoff * clock.Millis(0.5+w.random.Float64()/2)).Duration())
 }
 
-// answered notes that the source works.
-func (w *watcher) answered() {
-	if w.lost {
-		w.note(reasonSourceFound)
+// sourceAnswered records a successful call and resets the backoff.
+func (w *watcher) sourceAnswered() {
+	if w.failing {
+		w.logDecision(reasonSourceFound)
 	}
-	w.lost, w.pause = false, 0
+	w.failing, w.backoff = false, 0
 }
 
-// note writes a line on the source to the log.
-func (w *watcher) note(reason string) {
+// logDecision records a decision on the source of releases.
+func (w *watcher) logDecision(reason string) {
 	w.log.Record(logs.Decision{At: w.clock.Now(), Kind: logs.Release, Reason: reason})
 }
 
@@ -225,28 +229,29 @@
 	}
 }
 
-// join enters the node in the directory and contacts the nodes that it lists. Of any
-// two nodes, the one that entered last sees the other, so one list is enough for
-// nodes that start together. A node that knows no other one goes on asking.
+// join registers the node in the directory and adds the listed nodes as seeds. Of any two
+// nodes, the one that registered last finds the other, so one read of the directory is
+// enough for nodes that start at the same time. While no other live node is known, the
+// directory is read again every aloneListMillis.
 func (w *watcher) join(ctx context.Context) {
-	pause := watchLeast
-	for !w.enter(ctx) {
-		if !sleep(ctx, (pause * clock.Millis(0.5+w.random.Float64()/2)).Duration()) {
+	backoff := minSourceBackoff
+	for !w.register(ctx) {
+		if !sleep(ctx, (backoff * clock.Millis(0.5+w.random.Float64()/2)).Duration()) {
 			return
 		}
-		pause = min(2*pause, watchMost)
+		backoff = min(2*backoff, maxSourceBackoff)
 	}
-	w.list(ctx)
-	for sleep(ctx, lonelyMillis.Duration()) {
+	w.listNodes(ctx)
+	for sleep(ctx, aloneListMillis.Duration()) {
 		if w.fleet.alone() {
-			w.list(ctx)
+			w.listNodes(ctx)
 		}
 	}
 }
 
-// enter writes the node's entry and reports success.
-func (w *watcher) enter(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, readMillis.Duration())
+// register writes the node's entry to the directory and reports success.
+func (w *watcher) register(ctx context.Context) bool {
+	ctx, cancel := context.WithTimeout(ctx, readTimeoutMillis.Duration())
 	defer cancel()
 	if err := w.directory.Enter(ctx, w.self()); err != nil {
 		w.metrics.sourceErrors.Inc()
@@ -255,9 +260,9 @@
 	return true
 }
 
-// list reads the directory and tells the fleet of the nodes in it.
-func (w *watcher) list(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, readMillis.Duration())
+// listNodes reads the directory and passes its nodes to the fleet.
+func (w *watcher) listNodes(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, readTimeoutMillis.Duration())
 	defer cancel()
 	seeds, err := w.directory.Nodes(ctx)
 	if err != nil {
--- a/io/target/announce.go
+++ b/io/target/announce.go
@@ -6,18 +6,20 @@
 )
 
 const (
-	// renewPeriod is the time between renewals; the node lets three go missing.
+	// renewPeriod is the time between renewals. The node removes a target after 3 s
+	// without one.
 	renewPeriod = time.Second
-	// retryPeriod is the time between announcements that fail.
+	// retryPeriod is the delay after a failed announcement or renewal.
 	retryPeriod = 200 * time.Millisecond
 )
 
-// announce announces the target and renews until ctx ends, the target drains or
-// it is killed. A node that does not know the target gets a new announcement.
+// announce announces the target and renews the announcement until ctx ends, the target
+// drains or it is killed. After a failed renewal, for example at a restarted node that
+// does not know the target, it announces the target again.
 func (s *Server) announce(ctx context.Context) {
 	announced := false
 	for {
-		if s.draining.Load() || s.abrupt.Load() {
+		if s.draining.Load() || s.killed.Load() {
 			return
 		}
 		path, wait := "/announce", retryPeriod
--- a/io/target/server.go
+++ b/io/target/server.go
@@ -1,5 +1,5 @@
-// Package target provides a stand-in for a target: an HTTP server that announces
-// itself at its node and counts how often it ran each action.
+// Package target provides a target for tests and demos: an HTTP server that announces
+// itself to its node and counts how often it ran each action.
 package target
 
 import (
@@ -19,34 +19,38 @@
 )
 
 const (
-	// ActionHeader names the business action of a request, for the count of runs.
+	// ActionHeader is the request header with the id of the action, under which the runs
+	// are counted.
 	ActionHeader = "Action-Id"
 	// maxBodyBytes bounds a request body.
 	maxBodyBytes = 16 << 20
 )
 
-// Server is a stand-in target. Exported fields are set before Open.
+// Server is a target that returns the body of each request. Exported fields are set before
+// Open.
 type Server struct {
 	ID      ident.TargetID
 	Service ident.ServiceName
-	// Listen is host:port; port 0 chooses a free one.
+	// Listen is the TCP address; port 0 chooses a free one.
 	Listen string
-	// Node is host:port at which the node takes announcements; empty for a
+	// NodeAddress is host:port at which the node accepts announcements; empty for a
 	// server that does not announce itself.
-	Node string
-	// DelayMillis is how long each request takes.
+	NodeAddress string
+	// DelayMillis is the processing time of each request.
 	DelayMillis clock.Millis
 
 	listener net.Listener
 	server   *fasthttp.Server
 	inFlight atomic.Int64
+	// draining is set by Drain, which ends the renewals.
 	draining atomic.Bool
-	// abrupt is set by Kill: no more renewals and no leave.
-	abrupt atomic.Bool
-	// lastStart is the wall time, in Unix milliseconds, of the last request that
-	// started; 0 before the first one.
+	// killed is set by Kill, which ends the renewals without leaving.
+	killed atomic.Bool
+	// lastStart is the wall time, in Unix milliseconds, at which the last request started;
+	// 0 before the first one.
 	lastStart atomic.Int64
 
+	// mu guards runs.
 	mu sync.Mutex
 	// runs counts the runs of each action.
 	runs map[string]int
@@ -72,29 +76,30 @@
 	return s.listener.Addr().String()
 }
 
-// Run serves and keeps the announcement alive until ctx ends or Kill is called.
+// Run serves requests and renews the announcement until ctx ends or Kill is called.
 func (s *Server) Run(ctx context.Context) error {
 	var wg conc.WaitGroup
 	wg.Go(func() { s.announce(ctx) })
-	failure := make(chan error, 1)
-	wg.Go(func() { failure <- s.server.Serve(s.listener) })
+	serveErr := make(chan error, 1)
+	wg.Go(func() { serveErr <- s.server.Serve(s.listener) })
 	var err error
 	select {
 	case <-ctx.Done():
 		err = s.server.Shutdown()
-	case err = <-failure:
+	case err = <-serveErr:
 	}
 	wg.Wait()
 	return err
 }
 
-// Kill closes the listener at once and stops renewals without leaving.
+// Kill simulates a crash: it closes the listener at once and ends the renewals without
+// leaving.
 func (s *Server) Kill() {
-	s.abrupt.Store(true)
+	s.killed.Store(true)
 	_ = s.listener.Close()
 }
 
-// Drain tells the node that the target leaves, waits until no request is in
+// Drain announces to the node that the target is draining, waits until no request is in
 // flight, and leaves. It returns the error of ctx if that ends first.
 func (s *Server) Drain(ctx context.Context) error {
 	s.draining.Store(true)
@@ -111,12 +116,12 @@
 	return s.post("/leave")
 }
 
-// LastStart returns the instant at which the last request started, or 0.
+// LastStart returns the time at which the last request started, or 0 before the first one.
 func (s *Server) LastStart() clock.Millis {
 	return clock.Millis(s.lastStart.Load())
 }
 
-// Runs returns a copy of the count of runs by action.
+// Runs returns the number of runs of each action.
 func (s *Server) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,7 +132,7 @@
 	return out
 }
 
-// serve runs one request and answers with its body.
+// serve runs one request and returns its body.
 func (s *Server) serve(c *fasthttp.RequestCtx) {
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
@@ -145,20 +150,20 @@
 	c.SetBody(c.PostBody())
 }
 
-// statement is the body of every message to the node.
-type statement struct {
+// message is the body of every request to the node.
+type message struct {
 	Target   ident.TargetID
 	Service  ident.ServiceName `json:",omitempty"`
 	Address  string            `json:",omitempty"`
 	InFlight int               `json:",omitempty"`
 }
 
-// post sends a statement to the node. An answer other than success is an error.
+// post sends a message to the node. A status of 300 or above is an error.
 func (s *Server) post(path string) error {
-	if s.Node == "" {
+	if s.NodeAddress == "" {
 		return nil
 	}
-	body := statement{Target: s.ID}
+	body := message{Target: s.ID}
 	if path == "/announce" {
 		body.Service, body.Address = s.Service, s.Address()
 	}
@@ -172,7 +177,7 @@
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
-	request.SetRequestURI("http://" + s.Node + path)
+	request.SetRequestURI("http://" + s.NodeAddress + path)
 	request.Header.SetMethod(fasthttp.MethodPost)
 	request.Header.SetContentType("application/json")
 	request.SetBody(encoded)
