--- a/core/once/explore_test.go
+++ b/core/once/explore_test.go
@@ -62,7 +62,7 @@
 		// of the gate that started them.
 		running []packet
 		ran     int
-		attempt retry.Attempt
+		attempt retry.CallState
 		policy  *retry.Policy
 		// gate and addressed are those of the current attempt.
 		gate      int
@@ -92,8 +92,8 @@
 		s.gates[i] = &Dedup{Gate: ident.Incarnation(10*i + 10)}
 	}
 	s.policy = &retry.Policy{Budget: &retry.Budget{PerSecond: 1e6}, Rand: rand.New(rand.NewPCG(1, 1))}
-	s.policy.Budget.Call(0)
-	s.attempt = retry.Attempt{Route: model.Route{MaxAttempts: s.bounds.attempts}, Deadline: 5000}
+	s.policy.Budget.RecordCall(0)
+	s.attempt = retry.CallState{Route: model.Route{MaxAttempts: s.bounds.attempts}, Deadline: 5000}
 	s.send()
 	return s
 }
--- a/io/node/fleet.go
+++ b/io/node/fleet.go
@@ -153,9 +153,9 @@
 	f.dispatch(func(now clock.Millis) []spread.Action { return f.releases.SourceRelease(now, r) })
 }
 
-// readerPulse announces to the region that its reader is active.
-func (f *fleet) readerPulse(region ident.Region, epoch ident.Epoch) {
-	f.dispatch(func(now clock.Millis) []spread.Action { return f.releases.ReaderPulse(now, region, epoch) })
+// readerHeartbeat announces to the region that its reader is active.
+func (f *fleet) readerHeartbeat(region ident.Region, epoch ident.Epoch) {
+	f.dispatch(func(now clock.Millis) []spread.Action { return f.releases.ReaderHeartbeat(now, region, epoch) })
 }
 
 // dispatch passes an event to the distribution and performs the resulting actions.
@@ -167,11 +167,11 @@
 	f.refreshView(now)
 }
 
-// pulseAge returns the time since the last pulse of a region's reader.
-func (f *fleet) pulseAge(region ident.Region) clock.Millis {
+// heartbeatAge returns the time since the last heartbeat of a region's reader.
+func (f *fleet) heartbeatAge(region ident.Region) clock.Millis {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.releases.PulseAge(f.clock.Now(), region)
+	return f.releases.HeartbeatAge(f.clock.Now(), region)
 }
 
 // peerFloor returns the highest version that peers hold or have recorded for this node,
@@ -196,7 +196,7 @@
 func (f *fleet) regionSize(region ident.Region) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.table.SizeOf(region)
+	return f.table.RegionSize(region)
 }
 
 // serviceLimits returns the slots and connections of a service's targets. It returns 1
--- a/io/node/hosted.go
+++ b/io/node/hosted.go
@@ -53,12 +53,12 @@
 	// whatever its score. Near targets get nearly all calls, so the measurements of far
 	// ones would otherwise be out of date.
 	hostedStaleMillis = 10 * clock.Second
-	// hostedSourceMillis is how long a starting node waits for its own first read of the
+	// hostedSourceTimeoutMillis is how long a starting node waits for its own first read of the
 	// source, which it makes in any case, before it fetches the release from neighbours.
-	hostedSourceMillis = 800 * clock.Millis(1)
-	// hostedFetchMillis is the timeout of a fetch from a neighbour, which may have
+	hostedSourceTimeoutMillis = 800 * clock.Millis(1)
+	// hostedFetchTimeoutMillis is the timeout of a fetch from a neighbour, which may have
 	// stopped. Several fetches fit into the time in which a release must be in force.
-	hostedFetchMillis = 500 * clock.Millis(1)
+	hostedFetchTimeoutMillis = 500 * clock.Millis(1)
 	// stopAdmitMillis is how long the gate of a stopping node still admits calls after
 	// the announcement of the stop, for nodes that have not received it yet.
 	stopAdmitMillis = 500 * clock.Millis(1)
@@ -74,7 +74,7 @@
 	Hosted struct {
 		Settings conf.Settings
 		// Retries bounds the repeated arrivals at targets over all nodes.
-		Retries   retry.Share
+		Retries   retry.WindowBudget
 		Dialect   proxy.Dialect
 		Source    plat.Source
 		Directory plat.Directory
@@ -94,8 +94,8 @@
 
 	// Control is the interface of a node for its endpoint.
 	Control interface {
-		// Report handles a statement of the local target. After an error the state is
-		// unchanged, and the endpoint must not acknowledge the statement.
+		// Report handles a report of the local target. After an error the state is
+		// unchanged, and the endpoint must not acknowledge the report.
 		Report(r admin.Report) error
 		// Ready reports whether the node may serve callers.
 		Ready() bool
@@ -152,11 +152,11 @@
 // wireHostedDataPath creates the gateway, the ingress and the TCP transport.
 func (n *Node) wireHostedDataPath(h *Hosted, random *rand.Rand) {
 	n.wireProxy(random)
-	n.ingress.Policy = &retry.Policy{Share: &h.Retries, RetryFailures: true, Rand: splitRandom(random)}
+	n.ingress.Policy = &retry.Policy{WindowBudget: &h.Retries, RetryFailures: true, Rand: splitRandom(random)}
 	n.ingress.Picker.Limits = route.Limits{
 		DomainFactor: hostedDomainFactor, LocalPair: true, StaleMillis: hostedStaleMillis,
 	}
-	n.ingress.Search = &route.Search{}
+	n.ingress.Search = &route.FailFastPolicy{}
 	n.ingress.LingerMillis = hostedLingerMillis
 	n.ingress.Dialect, n.ingress.Service = h.Dialect, h.Settings.Service
 	n.gateway.KeptBytes = hostedKeptBytes
@@ -174,7 +174,7 @@
 // A hosted node has no reader.
 func (n *Node) wireHostedFleet(random *rand.Rand) {
 	config := spread.DefaultConfig()
-	config.SourceMillis, config.FetchMillis = hostedSourceMillis, hostedFetchMillis
+	config.SourceTimeoutMillis, config.FetchTimeoutMillis = hostedSourceTimeoutMillis, hostedFetchTimeoutMillis
 	n.fleet = &fleet{
 		clock: n.clock, transport: n.transport, ingress: n.ingress, gateway: n.gateway,
 		log: n.decisions, service: n.settings.Service, metrics: n.metrics,
--- a/io/node/hosted_test.go
+++ b/io/node/hosted_test.go
@@ -151,7 +151,7 @@
 		t.Fatal(err)
 	}
 	n, err := NewHosted(Hosted{
-		Settings: s, Source: h, Directory: h, Retries: retry.Share{Fixed: 9, WindowMillis: clock.Second, Nodes: 1},
+		Settings: s, Source: h, Directory: h, Retries: retry.WindowBudget{Fixed: 9, WindowMillis: clock.Second, Nodes: 1},
 		Endpoint: func(c Control) Endpoint {
 			h.mu.Lock()
 			defer h.mu.Unlock()
@@ -183,7 +183,7 @@
 // targetReport returns a report of a target of the service orders.
 func targetReport(id ident.TargetID, address string, sequence uint64) admin.Report {
 	return admin.Report{
-		Statement:    report.Statement{Target: id, Born: 1, Sequence: sequence},
+		Status:       report.Status{Target: id, StartedAt: 1, Sequence: sequence},
 		Announcement: admin.Announcement{Target: id, Service: "orders", Address: address},
 		Slots:        2,
 	}
--- a/io/node/localtarget.go
+++ b/io/node/localtarget.go
@@ -43,25 +43,25 @@
 	// stopping is set once the node stops; announcements are refused from then on.
 	stopping bool
 
-	// reportMu serializes numbered statements, so that they take effect in the order in
-	// which ledger accepted them. It is acquired before mu.
+	// reportMu serializes reports, so that they take effect in the order in which tracker
+	// accepted them. It is acquired before mu.
 	reportMu sync.Mutex
-	// ledger detects late and repeated statements.
-	ledger report.Ledger
+	// tracker detects late and repeated reports.
+	tracker report.Tracker
 }
 
-// Report handles a numbered statement of a target. Late and repeated ones have no effect.
+// Report handles a numbered report of a target. Late and repeated ones have no effect.
 func (t *localTarget) Report(r admin.Report) error {
 	t.reportMu.Lock()
 	defer t.reportMu.Unlock()
-	switch t.ledger.Take(r.Statement) {
+	switch t.tracker.Apply(r.Status) {
 	case report.Started:
 		return t.announce(r.Announcement, r.Slots)
 	case report.Renewed:
 		return t.renewOrAnnounce(r)
-	case report.Drained:
+	case report.Draining:
 		return ignoreUnknownTarget(t.Drain(r.Target))
-	case report.Gone:
+	case report.Left:
 		return ignoreUnknownTarget(t.Leave(r.Target))
 	}
 	return nil
@@ -85,11 +85,11 @@
 	return err
 }
 
-// known reports whether a target has made a statement since the node's start.
+// known reports whether a target has sent a report that has not expired.
 func (t *localTarget) known() bool {
 	t.reportMu.Lock()
 	defer t.reportMu.Unlock()
-	return t.ledger.Known()
+	return t.tracker.Known()
 }
 
 // announceDraining publishes the target as draining to other nodes, while the gate goes
@@ -197,7 +197,7 @@
 	if t.announcement.Target == "" || t.clock.Now()-t.renewedAt < t.renewalTimeout {
 		return
 	}
-	t.ledger.Lapse()
+	t.tracker.Expire()
 	t.remove("renewal overdue")
 }
 
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -53,9 +53,9 @@
 const (
 	// logCapacity bounds the decisions that are buffered for the decision log.
 	logCapacity = 8192
-	// missedPulses is the number of pulse periods without a new pulse of the region's
-	// reader after which a node contends for the lease.
-	missedPulses = 3
+	// missedHeartbeats is the number of heartbeat periods without a new heartbeat of the
+	// region's reader after which a node contends for the lease.
+	missedHeartbeats = 3
 	// startJitterMillis is the interval over which the first reads of nodes that start
 	// at the same time are spread: 790 nodes make 1,317 reads/s, below the 2,000 reads/s
 	// that the source accepts.
@@ -215,8 +215,8 @@
 	timing.TTLMillis = s.Lease.TTLMillis
 	timing.RenewMillis = s.Lease.TTLMillis / 4
 	timing.MarginMillis = s.Lease.TTLMillis / 6
-	pulse := max(distribution.PulseMillis, distribution.RoundMillis)
-	timing.SilenceMillis = max(timing.SilenceMillis, missedPulses*pulse)
+	period := max(distribution.HeartbeatMillis, distribution.RoundMillis)
+	timing.HeartbeatTimeoutMillis = max(timing.HeartbeatTimeoutMillis, missedHeartbeats*period)
 	n.reader = &reader{
 		clock: n.clock, region: s.Region, store: store, fleet: n.fleet, log: n.decisions, metrics: n.metrics,
 		submitter:  &plat.Submitter{Store: store, Clock: n.clock, Seed: random.Uint64()},
--- a/io/node/reader.go
+++ b/io/node/reader.go
@@ -57,8 +57,8 @@
 	startDelayMillis clock.Millis
 
 	keeper *plat.Keeper
-	// lastPulse is the time of the last pulse that was passed to keeper.
-	lastPulse clock.Millis
+	// lastHeartbeat is the time of the last heartbeat that was passed to keeper.
+	lastHeartbeat clock.Millis
 	// nextPoll is the time of the next poll, and backoff the delay after a failed one.
 	nextPoll clock.Millis
 	backoff  clock.Millis
@@ -83,13 +83,13 @@
 	return r.keeper.Run(ctx)
 }
 
-// tick passes the region's size and the pulse of its reader to the lease, and polls the
-// source if this node is the reader and a poll is due.
+// tick passes the region's size and the heartbeat of its reader to the lease, and polls
+// the source if this node is the reader and a poll is due.
 func (r *reader) tick(ctx context.Context) {
 	now := r.clock.Now()
 	r.keeper.SetFleet(r.fleet.regionSize(r.region))
-	if progress := now - r.fleet.pulseAge(r.region); progress > r.lastPulse {
-		r.lastPulse = progress
+	if heartbeat := now - r.fleet.heartbeatAge(r.region); heartbeat > r.lastHeartbeat {
+		r.lastHeartbeat = heartbeat
 		r.keeper.Pulse()
 	}
 	if r.keeper.Holds() && now >= r.nextPoll {
@@ -133,7 +133,7 @@
 		return
 	}
 	r.backoff, r.nextPoll = 0, now+r.pollMillis
-	r.fleet.readerPulse(r.region, ident.Epoch(r.epoch.Load()))
+	r.fleet.readerHeartbeat(r.region, ident.Epoch(r.epoch.Load()))
 	if revision > 0 {
 		r.fleet.sourceHead(head.Version, head.Digest)
 	}
