--- a/io/conf/hosted_test.go
+++ b/io/conf/hosted_test.go
@@ -6,9 +6,9 @@
 	"github.com/matryer/is"
 )
 
-// TestHostedSettings guards against settings of a node on a platform with protocols
-// of its own that are refused because of rules for the others, or accepted without an
-// address that it needs.
+// TestHostedSettings guards against settings for PlatformRows that are refused by rules
+// for PlatformObjects, such as a loopback TargetAddress, or that are accepted without
+// ReadyAddress.
 func TestHostedSettings(t *testing.T) {
 	is := is.New(t)
 	base := "Node = \"a\"\nFailureDomain = \"d\"\nRegion = \"r\"\nService = \"s\"\nPlatformURL = \"http://10.0.0.1:1\"\n" +
--- a/io/conf/markdown.go
+++ b/io/conf/markdown.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Markdown returns the page docs/settings.md.
+// Markdown returns the content of docs/settings.md.
 func Markdown() string {
 	var b strings.Builder
 	b.WriteString("# Settings of a node\n\n")
@@ -27,13 +27,13 @@
 			}
 			fmt.Fprintf(&b, "\n## %s\n\n| key | kind | default | allowed | purpose |\n|---|---|---|---|---|\n", title)
 		}
-		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", key, row.Kind, row.shownDefault(), row.Allowed, row.Help)
+		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", key, row.Kind, row.formatDefault(), row.Allowed, row.Help)
 	}
 	return b.String()
 }
 
-// shownDefault returns the default for the page.
-func (s Setting) shownDefault() string {
+// formatDefault returns the default as the page shows it.
+func (s Setting) formatDefault() string {
 	switch {
 	case s.Required:
 		return "required"
--- a/io/conf/parse.go
+++ b/io/conf/parse.go
@@ -18,29 +18,29 @@
 const maxFileBytes = 1 << 20
 
 type (
-	// Fault is one thing wrong with a settings file.
+	// Fault is one error in a settings file.
 	Fault struct {
-		// Line counts from 1; 0 for a key that is not in the file.
+		// Line is the line number, from 1; 0 for a key that is not in the file.
 		Line int
 		// Key is the full key, such as Limits.BodyBytes.
 		Key string
-		// Value is the refused value as it stands in the file; empty for a
+		// Value is the refused value as it is written in the file; empty for a
 		// missing key.
 		Value string
-		// Allowed says what would be accepted.
+		// Allowed describes the accepted values.
 		Allowed string
 	}
 
 	// Faults is a non-empty list of faults in order of line.
 	Faults []Fault
 
-	// entry is one key of the file with its value.
+	// entry is one key of the file and its value.
 	entry struct {
 		key  string
 		line int
-		// raw is the value as it stands in the file.
+		// raw is the value as faults show it.
 		raw string
-		// kind is empty for a value that no setting takes.
+		// kind is empty for a value of a type that no setting has.
 		kind  Kind
 		value value
 	}
@@ -78,7 +78,7 @@
 }
 
 // Load reads the settings from a file. The error names the file; it wraps Faults
-// if the content is wrong.
+// if the content is invalid.
 func Load(path string) (Settings, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -98,8 +98,8 @@
 	return s, nil
 }
 
-// Parse reads the settings from TOML text. The error is Faults with everything
-// that is wrong, and the settings are then the zero value.
+// Parse reads the settings from TOML text. The error is Faults with every error in
+// the text, and the settings are then the zero value.
 func Parse(text string) (Settings, error) {
 	if fault, ok := syntaxFault(text); !ok {
 		return Settings{}, Faults{fault}
@@ -145,8 +145,8 @@
 	return s
 }
 
-// syntaxFault returns the first fault of syntax, such as a duplicate key, which
-// the parser of positions alone does not report.
+// syntaxFault returns the first syntax error, such as a duplicate key, which
+// unstable.Parser does not report by itself. It returns true if there is none.
 func syntaxFault(text string) (Fault, bool) {
 	var all map[string]any
 	err := toml.Unmarshal([]byte(text), &all)
@@ -173,28 +173,28 @@
 		n := r.parser.Expression()
 		switch n.Kind {
 		case unstable.KeyValue:
-			r.keyValue(section, n)
+			r.addKeyValue(section, n)
 		case unstable.Table, unstable.ArrayTable:
 			section = joinKey("", n.Key())
-			r.section(section, n)
+			r.checkSection(section, n)
 		}
 	}
 }
 
-// section records a fault for a table that no setting is in.
-func (r *reader) section(name string, n *unstable.Node) {
+// checkSection records a fault for a table that is not a section of the settings.
+func (r *reader) checkSection(name string, n *unstable.Node) {
 	if n.Kind == unstable.Table && isSection(name) {
 		return
 	}
 	r.faults = append(r.faults, Fault{Line: r.line(n), Key: name, Value: "a table", Allowed: knownKeys(name)})
 }
 
-// keyValue collects one key with its value, or the keys of an inline table.
-func (r *reader) keyValue(section string, n *unstable.Node) {
+// addKeyValue adds an entry for one key, or entries for the keys of an inline table.
+func (r *reader) addKeyValue(section string, n *unstable.Node) {
 	key, v := joinKey(section, n.Key()), n.Value()
 	if v.Kind == unstable.InlineTable && isSection(key) {
 		for it := v.Children(); it.Next(); {
-			r.keyValue(key, it.Node())
+			r.addKeyValue(key, it.Node())
 		}
 		return
 	}
@@ -219,8 +219,8 @@
 	r.entries = append(r.entries, e)
 }
 
-// list returns the texts of an array and its text form; the kind is empty if an
-// element is not a string.
+// list returns the kind and the strings of an array, and the array as faults show
+// it. The kind is empty if an element is not a string.
 func (r *reader) list(array *unstable.Node) (Kind, []string, string) {
 	kind, texts, raw := List, []string{}, []string{}
 	for it := array.Children(); it.Next(); {
@@ -248,9 +248,9 @@
 	return r.parser.Shape(it.Node().Raw).Start.Line
 }
 
-// store checks an entry and sets it, or records a fault.
+// store validates an entry and stores its value, or records a fault.
 func (r *reader) store(s *Settings, e entry) {
-	row, ok := find(e.key)
+	row, ok := findSetting(e.key)
 	if !ok {
 		r.faults = append(r.faults, Fault{Line: e.line, Key: e.key, Value: e.raw, Allowed: knownKeys(e.key)})
 		return
@@ -265,8 +265,8 @@
 	}
 }
 
-// complete checks the rules that span several keys and fills AdvertiseAddress.
-// given holds the line of each key in the file.
+// complete checks the rules that span several keys and sets the default of
+// AdvertiseAddress. given holds the line of each key in the file.
 func (s *Settings) complete(given map[string]int) Faults {
 	var faults Faults
 	require := func(ok bool, key, value, allowed string) {
@@ -296,15 +296,15 @@
 
 // checkListeners requires that no two TCP listeners share an address and port.
 func (s *Settings) checkListeners(require func(ok bool, key, value, allowed string)) {
-	taken := sets.Of[string]()
+	used := sets.Of[string]()
 	for _, l := range []struct{ key, address string }{
 		{"CallerAddress", s.CallerAddress},
 		{"TargetAddress", s.TargetAddress},
 		{"AdminAddress", s.AdminAddress},
 		{"OperatorAddress", s.OperatorAddress},
 	} {
-		free := strings.HasSuffix(l.address, ":0") || taken.Add(l.address)
-		require(free, l.key, strconv.Quote(l.address), "an address that no other listener of the node has")
+		unused := strings.HasSuffix(l.address, ":0") || used.Add(l.address)
+		require(unused, l.key, strconv.Quote(l.address), "an address that no other listener of the node has")
 	}
 }
 
@@ -320,8 +320,8 @@
 	return key
 }
 
-// find returns the row of a key.
-func find(key string) (Setting, bool) {
+// findSetting returns the table's row for a key.
+func findSetting(key string) (Setting, bool) {
 	i := slices.IndexFunc(table, func(s Setting) bool { return s.Key == key })
 	if i < 0 {
 		return Setting{}, false
@@ -334,7 +334,7 @@
 	return slices.ContainsFunc(table, func(s Setting) bool { return strings.HasPrefix(s.Key, name+".") })
 }
 
-// knownKeys lists the keys and sections beside an unknown key.
+// knownKeys lists the keys and sections that are allowed in place of an unknown key.
 func knownKeys(key string) string {
 	section, _, found := strings.Cut(key, ".")
 	if !found || !isSection(section) {
--- a/io/conf/parse_test.go
+++ b/io/conf/parse_test.go
@@ -31,7 +31,8 @@
 	is.Equal(len(s.Seeds), 0)
 }
 
-// TestParseForms guards against a form of TOML whose keys are not recognised.
+// TestParseForms guards against keys that are not recognised in one of the notations
+// of TOML: a table, dotted keys or an inline table.
 func TestParseForms(t *testing.T) {
 	is := is.New(t)
 	for _, form := range []string{
@@ -47,8 +48,8 @@
 	}
 }
 
-// TestParseFaults guards against a wrong value that is accepted, and against a
-// fault without its line, key, value or what is allowed.
+// TestParseFaults guards against an invalid value that is accepted, and against a
+// fault that lacks its line, key, value or allowed values.
 func TestParseFaults(t *testing.T) {
 	cases := []struct{ text, key, value, allowed string }{
 		{`Colour = "red"`, "Colour", `"red"`, "the keys Node"},
@@ -92,12 +93,12 @@
 			if strings.Contains(c.text, c.key) {
 				is.Equal(faults[0].Line, 5) // the line after minimal
 			}
-			is.True(reflect.DeepEqual(s, Settings{})) // nothing of a refused file is used
+			is.True(reflect.DeepEqual(s, Settings{})) // no setting of a refused file is used
 		})
 	}
 }
 
-// TestParseAllFaults guards against a report that ends at the first fault.
+// TestParseAllFaults guards against an error that contains only the first fault.
 func TestParseAllFaults(t *testing.T) {
 	is := is.New(t)
 	_, err := Parse("Colour = 1\nRegion = \"\"\n[Stop]\nGraceMillis = -1\n")
@@ -122,8 +123,8 @@
 	is.True(err != nil && strings.Contains(err.Error(), path))
 }
 
-// TestTable guards against a row without a purpose and against two rows for one
-// key.
+// TestTable guards against a row without Help or Allowed and against two rows for
+// one key.
 func TestTable(t *testing.T) {
 	is := is.New(t)
 	seen := map[string]bool{}
@@ -135,7 +136,7 @@
 	}
 }
 
-// FuzzParse guards against a panic and against a refusal without a fault.
+// FuzzParse guards against a panic and against an error without a fault.
 func FuzzParse(f *testing.F) {
 	f.Add(minimal)
 	f.Add(minimal + "[Limits]\nBodyBytes = 4_096 # note\n")
--- a/io/conf/settings.go
+++ b/io/conf/settings.go
@@ -1,5 +1,5 @@
-// Package conf provides the settings of a node: one table of defaults with a
-// validator each, read from a TOML file.
+// Package conf reads the settings of a node from a TOML file. A table holds the
+// default and the validator of each setting.
 package conf
 
 import (
@@ -14,7 +14,7 @@
 	// Settings are the settings of one node. Every value has passed the check of
 	// its row in the table.
 	Settings struct {
-		// Node is the slot's name; it stays the same when the process is replaced.
+		// Node is the name of the node's slot; a replacement process reuses it.
 		Node          ident.NodeID
 		FailureDomain ident.FailureDomain
 		Region        ident.Region
@@ -28,21 +28,21 @@
 		TargetAddress   string
 		AdminAddress    string
 		OperatorAddress string
-		// ReadyAddress is where the platform asks whether the node takes callers; empty
-		// unless Platform is rows.
+		// ReadyAddress is where the platform checks whether the node accepts callers;
+		// used, and never empty, if Platform is rows.
 		ReadyAddress string
 		PeerAddress  string
-		// TargetEndpoint is the address of the target's own server; empty if the
-		// target has to announce it.
+		// TargetEndpoint is the address of the target's own server; empty if only
+		// the target's announcement provides it.
 		TargetEndpoint string
-		// AdvertiseAddress is the address that peers use; never unspecified.
+		// AdvertiseAddress is the address that peers connect to; never unspecified.
 		AdvertiseAddress string
 
 		PlatformURL string
-		// Platform says which protocol the platform speaks.
+		// Platform selects the protocol of the platform.
 		Platform Platform
-		// PlatformBounds are the platform's own bounds, as the package platform
-		// reads them.
+		// PlatformBounds are limits that the platform imposes, as entries
+		// "name=value" that the package platform parses.
 		PlatformBounds []string
 		Seeds          []Seed
 		KeyDirectory   string
@@ -72,55 +72,54 @@
 		CallerRequestsPerSecond int
 	}
 
-	// Spread sets the distribution of releases.
+	// Spread configures the distribution of releases.
 	Spread struct {
 		RoundMillis       clock.Millis
 		StartSourceMillis clock.Millis
 		PollMillis        clock.Millis
 	}
 
-	// Stall sets the detection of silent connections.
+	// Stall configures the detection of silent connections.
 	Stall struct {
 		ProbeMillis  clock.Millis
 		GiveUpMillis clock.Millis
 	}
 
-	// Member sets the detection of failed nodes.
+	// Member configures the detection of failed nodes.
 	Member struct {
 		ProbeMillis clock.Millis
 		// SuspectMillis is at least ProbeMillis.
 		SuspectMillis clock.Millis
 	}
 
-	// Lease sets the reader's lease.
+	// Lease configures the reader's lease.
 	Lease struct {
 		TTLMillis clock.Millis
 	}
 
-	// Log sets the log of the node.
+	// Log configures the log of the node.
 	Log struct {
 		Level     log.Level
 		Decisions logs.Filter
 	}
 
-	// Stop sets the planned stop.
+	// Stop configures the planned stop of the node.
 	Stop struct {
 		// GraceMillis bounds the wait for requests in flight.
 		GraceMillis clock.Millis
-		// LameDuckMillis is how long a node that stops goes on serving while it
-		// says that it is not ready.
+		// LameDuckMillis is how long a stopping node continues to serve requests
+		// while it reports that it is not ready.
 		LameDuckMillis clock.Millis
 	}
 
-	// Platform names a protocol of the platform.
+	// Platform is a protocol of the platform.
 	Platform string
 )
 
 const (
 	// PlatformObjects is the protocol of docs/platform.md.
 	PlatformObjects Platform = "objects"
-	// PlatformRows is the protocol of the platform that the package platform
-	// translates. Targets announce themselves in its form as well, and nodes talk
-	// over TCP.
+	// PlatformRows is the protocol that the package platform translates. Targets
+	// announce themselves in its format as well, and nodes communicate over TCP.
 	PlatformRows Platform = "rows"
 )
--- a/io/conf/table.go
+++ b/io/conf/table.go
@@ -23,11 +23,11 @@
 	// List is a TOML array of strings.
 	List Kind = "list of text"
 
-	// maxNameBytes bounds a name; it is the bound of the inventory's names.
+	// maxNameBytes bounds a name; names in the inventory have the same bound.
 	maxNameBytes = 64
-	// nameAllowed describes the form of a name.
+	// nameAllowed describes the syntax of a name.
 	nameAllowed = "1 to 64 letters, digits, '-', '_' or '.'"
-	// addressAllowed describes the form of an address.
+	// addressAllowed describes the syntax of an address.
 	addressAllowed = "an IP address and port, such as 127.0.0.1:8080 or [::1]:8080"
 )
 
@@ -40,15 +40,17 @@
 		// Key is unique in the table; a dot separates the section from the key.
 		Key  string
 		Kind Kind
-		// Default is the value in text form if the file does not have the key.
+		// Default is the text form of the value that is used if the file does not
+		// have the key.
 		Default string
-		// Required says that the key has no default.
+		// Required is true if the file must have the key, which has no default.
 		Required bool
-		// Allowed says which values pass the check.
+		// Allowed describes the accepted values.
 		Allowed string
-		// Help is one line on the purpose.
+		// Help describes the purpose in one line.
 		Help string
-		// set checks a value and stores it; false leaves the settings unchanged.
+		// set validates and stores a value. It returns false, and leaves the
+		// settings unchanged, if the value is refused.
 		set func(s *Settings, v value) bool
 	}
 
@@ -60,7 +62,7 @@
 	}
 )
 
-// table holds every setting in the order of the documentation.
+// table holds every setting, in the order of docs/settings.md.
 var table = []Setting{
 	name("Node", "Name of the slot; a replaced process keeps it.", func(s *Settings) *ident.NodeID { return &s.Node }),
 	name("FailureDomain", "Failure domain of the server.", func(s *Settings) *ident.FailureDomain { return &s.FailureDomain }),
@@ -154,7 +156,7 @@
 	return append([]Setting(nil), table...)
 }
 
-// text returns a row for a TOML string.
+// text returns a row for a TOML string that ok accepts.
 func text[T ~string](key, def, allowed, help string, ok func(string) bool, field func(*Settings) *T) Setting {
 	return Setting{
 		Key: key, Kind: Text, Default: def, Allowed: allowed, Help: help,
@@ -173,7 +175,7 @@
 	return required(text(key, "", nameAllowed, help, isName, field))
 }
 
-// required returns the row without a default.
+// required returns the row with its key marked as required.
 func required(s Setting) Setting {
 	s.Required = true
 	return s
@@ -218,7 +220,7 @@
 	return true
 }
 
-// setDecisions stores the filter of the decision log.
+// setDecisions stores the filter for the decision log.
 func setDecisions(s *Settings, v value) bool {
 	filter, ok := logs.ParseFilter(v.text)
 	if ok {
@@ -227,7 +229,7 @@
 	return ok
 }
 
-// emptyOr returns a check that also accepts the empty text.
+// emptyOr returns a check that accepts the empty string and what ok accepts.
 func emptyOr(ok func(string) bool) func(string) bool {
 	return func(text string) bool { return text == "" || ok(text) }
 }
@@ -237,7 +239,7 @@
 	return text != ""
 }
 
-// isName reports whether text has the form of a name.
+// isName reports whether text has the syntax of a name.
 func isName(text string) bool {
 	if text == "" || len(text) > maxNameBytes {
 		return false
@@ -264,8 +266,8 @@
 	return err == nil && a.Addr().IsLoopback()
 }
 
-// isReachable reports whether text is an address and port that another server
-// can send to.
+// isReachable reports whether text is a specific address and port, to which other
+// servers can connect.
 func isReachable(text string) bool {
 	a, err := netip.ParseAddrPort(text)
 	return err == nil && !a.Addr().IsUnspecified() && a.Port() != 0
@@ -278,8 +280,8 @@
 		u.Host != "" && u.RawQuery == "" && u.Fragment == ""
 }
 
-// isSpecific reports whether text is an address of one interface; port 0 is
-// allowed.
+// isSpecific reports whether text has an address other than the unspecified one;
+// port 0 is allowed.
 func isSpecific(text string) bool {
 	a, err := netip.ParseAddrPort(text)
 	return err == nil && !a.Addr().IsUnspecified()
