--- a/io/admin/admin_test.go
+++ b/io/admin/admin_test.go
@@ -27,22 +27,23 @@
 )
 
 type (
-	// runner is a server of this package.
-	runner interface {
+	// testServer is any of the servers of this package.
+	testServer interface {
 		Open() error
 		Address() string
 		Run(ctx context.Context) error
 	}
 
-	// fake records what the servers pass on.
-	fake struct {
+	// fakeControl is a TargetControl, EditControl and StatusSource that records calls
+	// and returns preset results.
+	fakeControl struct {
 		mu     sync.Mutex
 		calls  []string
 		edits  []Edit
 		status Status
 		err    error
 		out    Outcome
-		// entered and release, if set, hold up Submit.
+		// entered, if not nil, is closed by Submit, which then waits for release.
 		entered, release chan struct{}
 		metrics          *prometheus.Registry
 	}
@@ -56,34 +57,34 @@
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
-func (f *fake) note(format string, args ...any) error {
+func (f *fakeControl) record(format string, args ...any) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calls = append(f.calls, fmt.Sprintf(format, args...))
 	return f.err
 }
 
-func (f *fake) Announce(a Announcement) error { return f.note("announce %+v", a) }
-func (f *fake) Renew(r Renewal) error         { return f.note("renew %+v", r) }
-func (f *fake) Drain(t ident.TargetID) error  { return f.note("drain %s", t) }
-func (f *fake) Leave(t ident.TargetID) error  { return f.note("leave %s", t) }
-func (f *fake) Status() Status                { return f.status }
-func (f *fake) Fleet() []NodeStatus           { return []NodeStatus{{Node: "a1", Held: 7}} }
+func (f *fakeControl) Announce(a Announcement) error { return f.record("announce %+v", a) }
+func (f *fakeControl) Renew(r Renewal) error         { return f.record("renew %+v", r) }
+func (f *fakeControl) Drain(t ident.TargetID) error  { return f.record("drain %s", t) }
+func (f *fakeControl) Leave(t ident.TargetID) error  { return f.record("leave %s", t) }
+func (f *fakeControl) Status() Status                { return f.status }
+func (f *fakeControl) Fleet() []NodeStatus           { return []NodeStatus{{Node: "a1", Held: 7}} }
 
-func (f *fake) Submit(_ context.Context, e Edit) (Outcome, error) {
+func (f *fakeControl) Submit(_ context.Context, e Edit) (Outcome, error) {
 	if f.entered != nil {
 		close(f.entered)
 		<-f.release
 	}
 	f.edits = append(f.edits, e)
-	return f.out, f.note("submit %s", e.EditID)
+	return f.out, f.record("submit %s", e.EditID)
 }
 
-func (f *fake) History(_ context.Context, limit int) ([]HistoryEntry, error) {
+func (f *fakeControl) History(_ context.Context, limit int) ([]HistoryEntry, error) {
 	return []HistoryEntry{{Version: ident.Version(limit)}}, f.err
 }
 
-func (f *fake) Configuration(context.Context) (model.Release, error) {
+func (f *fakeControl) Configuration(context.Context) (model.Release, error) {
 	return model.NewRelease(3, "e3", configuration())
 }
 
@@ -100,8 +101,8 @@
 	}
 }
 
-// start runs a server until the test ends.
-func start(t *testing.T, r runner) string {
+// start runs a server until the test ends and returns its address.
+func start(t *testing.T, r testServer) string {
 	t.Helper()
 	if err := r.Open(); err != nil {
 		t.Fatal(err)
@@ -118,7 +119,7 @@
 	return r.Address()
 }
 
-// do sends one request on a connection of its own.
+// do sends one request on a new connection and returns the status and the body.
 func do(t *testing.T, method, url, bearer, body string) (int, string) {
 	t.Helper()
 	transport := &http.Transport{DisableKeepAlives: true, TLSClientConfig: &tls.Config{InsecureSkipVerify: true}}
@@ -141,8 +142,8 @@
 	return w.StatusCode, string(text)
 }
 
-// operators starts the operators' server on f.
-func operators(t *testing.T, f *fake) string {
+// operators starts an OperatorServer on f and returns its base URL.
+func operators(t *testing.T, f *fakeControl) string {
 	t.Helper()
 	f.metrics = prometheus.NewRegistry()
 	directory := t.TempDir()
@@ -153,23 +154,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return "https://" + start(t, &Operators{
+	return "https://" + start(t, &OperatorServer{
 		Listen: "127.0.0.1:0", Certificate: identity.Certificate, Credential: ident.Sum([]byte(token)), Control: f, Source: f,
 		Registry: f.metrics,
 	})
 }
 
-// editText returns the body of an edit with extra fields.
+// editText returns the request body of an edit with extra fields.
 func editText(extra string) string {
 	document, _ := json.Marshal(NewDocument(configuration()))
 	return fmt.Sprintf(`{"EditID":"e1","Base":2,"Operator":"ann","Configuration":%s%s}`, document, extra)
 }
 
-// TestAdmin guards against a node that is reported ready before it is.
-func TestAdmin(t *testing.T) {
+// TestStatusServer guards against a node that is reported ready while it has a reason not to be.
+func TestStatusServer(t *testing.T) {
 	is := is.New(t)
-	f := &fake{status: Status{Node: "a1", Reasons: []string{"no version floor"}}}
-	base := "http://" + start(t, &Admin{Listen: "127.0.0.1:0", Metrics: stats.NewRegistry(), Source: f})
+	f := &fakeControl{status: Status{Node: "a1", Reasons: []string{"no version floor"}}}
+	base := "http://" + start(t, &StatusServer{Listen: "127.0.0.1:0", Metrics: stats.NewRegistry(), Source: f})
 	code, text := do(t, "GET", base+"/readyz", "", "")
 	is.Equal(code, 503)
 	is.True(strings.Contains(text, "no version floor"))
@@ -184,11 +185,11 @@
 	is.Equal(code, 200)
 }
 
-// TestTargets guards against a statement that is passed on although it is wrong,
-// above all one for another node's target.
+// TestTargets guards against an invalid request that reaches the TargetControl,
+// especially one for the target of another node.
 func TestTargets(t *testing.T) {
-	f := &fake{}
-	base := "http://" + start(t, &Targets{Listen: "127.0.0.1:0", Target: "t1", Service: "orders", Control: f})
+	f := &fakeControl{}
+	base := "http://" + start(t, &TargetServer{Listen: "127.0.0.1:0", Target: "t1", Service: "orders", Control: f})
 	const good = `{"Target":"t1","Service":"orders","Address":"127.0.0.1:9","InFlight":2}`
 	cases := []struct {
 		path, body string
@@ -232,22 +233,22 @@
 	is.New(t).Equal(code, 404)
 }
 
-// TestTargetsIngressOnly guards against a target at a node that has none; an
-// empty name must not match the empty setting.
+// TestTargetsIngressOnly guards against a target that is accepted by a node without a
+// Target setting; an empty name must not match the empty setting.
 func TestTargetsIngressOnly(t *testing.T) {
-	f := &fake{}
-	base := "http://" + start(t, &Targets{Listen: "127.0.0.1:0", Control: f})
+	f := &fakeControl{}
+	base := "http://" + start(t, &TargetServer{Listen: "127.0.0.1:0", Control: f})
 	code, _ := do(t, "POST", base+"/announce", "", `{"Target":"","Service":"","Address":"127.0.0.1:9"}`)
 	is.New(t).Equal(code, 403)
 	is.New(t).Equal(len(f.calls), 0)
 }
 
-// TestCredential guards against a wrong credential that passes, and against an
-// answer that tells a wrong credential from a missing one or a known path from
-// an unknown one.
+// TestCredential guards against a wrong credential that is accepted, and against a
+// response that reveals whether a credential is wrong or missing, or whether a path
+// exists.
 func TestCredential(t *testing.T) {
 	is := is.New(t)
-	f := &fake{}
+	f := &fakeControl{}
 	base := operators(t, f)
 	want := ""
 	for _, bearer := range []string{
@@ -269,7 +270,7 @@
 	is.Equal(families[0].GetMetric()[0].GetCounter().GetValue(), 30.0) // each refusal counts
 }
 
-// TestEdits guards against a malformed edit that is passed on and against an
+// TestEdits guards against a malformed edit that reaches the EditControl and against an
 // outcome or verdict that is reported as another one.
 func TestEdits(t *testing.T) {
 	refusedByStore := result.NewError(result.NotRun, "platform is down", nil)
@@ -295,7 +296,7 @@
 		{"unknown service", strings.Replace(editText(""), `"Service":"orders"`, `"Service":"tea"`, 1), Outcome{}, nil, 422, "a service of the inventory", false},
 		{"too large", editText(strings.Repeat(" ", operatorBodyBytes)), Outcome{}, nil, 413, "", false},
 	}
-	f := &fake{}
+	f := &fakeControl{}
 	base := operators(t, f)
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -313,8 +314,8 @@
 	}
 }
 
-// TestDocument guards against a field of a configuration that is lost or changed on
-// the way through the API.
+// TestDocument guards against a field of a configuration that is lost or changed by its
+// encoding as a Document.
 func TestDocument(t *testing.T) {
 	name := rapid.StringMatching(`[a-z]{1,4}`)
 	rapid.Check(t, func(t *rapid.T) {
@@ -342,11 +343,12 @@
 	})
 }
 
-// TestFarTooLarge guards against a body far above the limit that is passed on. The
-// connection is closed without reading it, so the client may not see the answer.
+// TestFarTooLarge guards against a body far above the limit that reaches the EditControl.
+// The server closes the connection without reading it, so the client may not receive
+// the response.
 func TestFarTooLarge(t *testing.T) {
 	is := is.New(t)
-	f := &fake{}
+	f := &fakeControl{}
 	base := operators(t, f)
 	r, err := http.NewRequest("POST", base+"/edits", strings.NewReader(editText(strings.Repeat(" ", 4*operatorBodyBytes))))
 	is.NoErr(err)
@@ -359,10 +361,10 @@
 	is.Equal(len(f.edits), 0)
 }
 
-// TestOperatorReads guards against answers that lose fields or exceed the limit.
+// TestOperatorReads guards against responses that lack fields or exceed the limit.
 func TestOperatorReads(t *testing.T) {
 	is := is.New(t)
-	base := operators(t, &fake{})
+	base := operators(t, &fakeControl{})
 	for path, want := range map[string]string{
 		"/history":         `[{"Version":50,`,
 		"/history?Limit=2": `[{"Version":2,`,
--- a/io/admin/client.go
+++ b/io/admin/client.go
@@ -22,21 +22,21 @@
 )
 
 const (
-	// maxAnswerBytes bounds an answer; the fleet list of 790 nodes has about 100 kB.
-	maxAnswerBytes = 16 << 20
-	// callMillis bounds a call; it leaves the server its own time.
-	callMillis = controlMillis + 5000
+	// maxResponseBytes bounds a response; the fleet list of 790 nodes has about 100 kB.
+	maxResponseBytes = 16 << 20
+	// callTimeoutMillis bounds a call; it is longer than the server's own timeout.
+	callTimeoutMillis = handlerTimeoutMillis + 5000
 )
 
-// Client calls the operators' server of a node. It is safe for concurrent use, and
-// its fields do not change after the first call.
+// Client calls the OperatorServer of a node. It is safe for concurrent use; its
+// fields must not change after the first call.
 type Client struct {
 	// URL is the node's operator address, such as https://10.0.0.7:8443.
 	URL string
 	// Token is the bearer token.
 	Token string
-	// Authority holds the fleet's own authority. The certificate of any of its
-	// nodes is accepted, because nodes are reached by address.
+	// Authority holds the fleet's own certificate authority. A certificate of any
+	// of its nodes is accepted, because nodes are reached by address.
 	Authority *x509.CertPool
 
 	once   sync.Once
@@ -51,8 +51,8 @@
 )
 
 // Submit submits an edit. The error is model.Faults for an invalid configuration;
-// otherwise its verdict says whether the edit may have been accepted, and the
-// same edit id can be submitted again.
+// otherwise its verdict states whether the edit may have been accepted, and the
+// edit can be submitted again under the same id.
 func (c *Client) Submit(ctx context.Context, e Edit) (Outcome, error) {
 	body, err := json.Marshal(editBody{
 		EditID: e.EditID, Base: e.Base, Operator: e.Operator, ReleaseMillis: e.ReleaseMillis,
@@ -95,7 +95,7 @@
 	return call[[]NodeStatus](ctx, c, http.MethodGet, "/fleet", nil)
 }
 
-// call sends one request and decodes the answer.
+// call sends one request and decodes the response.
 func call[T any](ctx context.Context, c *Client, method, path string, body []byte) (T, error) {
 	var v T
 	text, err := c.send(ctx, method, path, body)
@@ -108,44 +108,46 @@
 	return v, nil
 }
 
-// send sends one request and returns the body of an answer that is an outcome.
+// send sends one request and returns the body of the response. A response whose
+// status is none of 200, 202 and 409 is an error.
 func (c *Client) send(ctx context.Context, method, path string, body []byte) ([]byte, error) {
 	c.once.Do(c.connect)
-	ctx, cancel := context.WithTimeout(ctx, callMillis.Duration())
+	ctx, cancel := context.WithTimeout(ctx, callTimeoutMillis.Duration())
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, method, c.URL+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, c.URL+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, result.NewError(result.NotRun, "malformed node address", err)
 	}
-	r.Header.Set("Authorization", "Bearer "+c.Token)
-	w, err := c.client.Do(r)
+	req.Header.Set("Authorization", "Bearer "+c.Token)
+	resp, err := c.client.Do(req)
 	if err != nil {
 		return nil, result.NewError(verdictOf(method, err), "node cannot be reached", err)
 	}
-	defer w.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(w.Body, maxAnswerBytes))
+	defer resp.Body.Close()
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return nil, result.NewError(result.MayHaveRun, "answer was cut off", err)
 	}
-	switch w.StatusCode {
+	switch resp.StatusCode {
 	case http.StatusOK, http.StatusAccepted, http.StatusConflict:
 		return text, nil
 	default:
-		return nil, failureOf(w.StatusCode, text)
+		return nil, failureOf(resp.StatusCode, text)
 	}
 }
 
-// connect makes the HTTP client.
+// connect creates the HTTP client.
 func (c *Client) connect() {
 	c.client = &http.Client{
 		Transport: &http.Transport{TLSClientConfig: &tls.Config{
 			MinVersion: tls.VersionTLS13,
-			// The standard check compares the address with the certificate's
-			// names, but certificates name nodes; verify replaces it.
+			// The standard verification compares the address with the names in
+			// the certificate, but certificates contain the names of nodes;
+			// verify replaces it.
 			InsecureSkipVerify: true,
 			VerifyConnection:   c.verify,
 		}},
-		// A redirect would carry the credential to another place.
+		// Following a redirect could send the credential to another server.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
@@ -164,7 +166,8 @@
 	return err
 }
 
-// verdictOf returns the verdict on a request without an answer.
+// verdictOf returns the verdict on a request that got no response: NotRun if it only
+// reads or if the connection was not established.
 func verdictOf(method string, err error) result.Verdict {
 	var dial *net.OpError
 	var certificate *tls.CertificateVerificationError
@@ -180,7 +183,7 @@
 	}
 }
 
-// failureOf returns the error of a refusal.
+// failureOf returns the error for a response that reports one.
 func failureOf(status int, text []byte) error {
 	var f failure
 	if err := json.Unmarshal(text, &f); err != nil || f.Error == "" {
@@ -191,8 +194,8 @@
 	}
 	if len(f.Faults) > 0 {
 		var faults model.Faults
-		for _, one := range f.Faults {
-			faults = append(faults, model.Fault(one))
+		for _, entry := range f.Faults {
+			faults = append(faults, model.Fault(entry))
 		}
 		return faults
 	}
--- a/io/admin/client_test.go
+++ b/io/admin/client_test.go
@@ -15,8 +15,8 @@
 	"hickoryrail/io/keys"
 )
 
-// client starts the operators' server on f and returns a client for it.
-func client(t *testing.T, f *fake) *Client {
+// client starts an OperatorServer on f and returns a client for it.
+func client(t *testing.T, f *fakeControl) *Client {
 	t.Helper()
 	directory := t.TempDir()
 	if _, err := keys.CreateFleet(directory, []ident.NodeID{"a1"}); err != nil {
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := &Operators{
+	o := &OperatorServer{
 		Listen: "127.0.0.1:0", Certificate: identity.Certificate, Credential: ident.Sum([]byte(token)), Control: f, Source: f,
 	}
 	c := &Client{URL: "https://" + start(t, o), Token: token, Authority: identity.Authority}
@@ -34,11 +34,11 @@
 	return c
 }
 
-// TestClientOutcomes guards against an outcome, a fault or a verdict that changes
-// on the way to the operator.
+// TestClientOutcomes guards against an outcome, a fault or a verdict that is changed
+// between the EditControl and the client.
 func TestClientOutcomes(t *testing.T) {
 	is := is.New(t)
-	f := &fake{}
+	f := &fakeControl{}
 	c := client(t, f)
 	ctx := context.Background()
 	e := Edit{EditID: NewEditID(), Base: 2, Operator: "ann", ReleaseMillis: 5, Configuration: configuration()}
@@ -68,31 +68,31 @@
 }
 
 // TestClientTrust guards against a client that sends the credential to a server
-// of another authority, and against a wrong credential that passes.
+// of another authority, and against a wrong credential that is accepted.
 func TestClientTrust(t *testing.T) {
 	is := is.New(t)
-	f := &fake{out: Outcome{State: Accepted}}
+	f := &fakeControl{out: Outcome{State: Accepted}}
 	c := client(t, f)
 	e := Edit{EditID: "e1", Operator: "ann", Configuration: configuration()}
 	wrong := &Client{URL: c.URL, Token: "wrong", Authority: c.Authority}
 	_, err := wrong.Submit(context.Background(), e)
 	is.True(errors.Is(err, ErrUnauthorized))
-	stranger := &Client{URL: c.URL, Token: token, Authority: x509.NewCertPool()}
-	_, err = stranger.Submit(context.Background(), e)
+	otherAuthority := &Client{URL: c.URL, Token: token, Authority: x509.NewCertPool()}
+	_, err = otherAuthority.Submit(context.Background(), e)
 	is.Equal(result.Of(err), result.NotRun)
 	is.Equal(len(f.calls), 0)
 }
 
-// TestClientVerdicts guards against a lost answer that is reported as NotRun.
+// TestClientVerdicts guards against a lost response that is reported as NotRun.
 func TestClientVerdicts(t *testing.T) {
 	is := is.New(t)
-	f := &fake{entered: make(chan struct{}), release: make(chan struct{})}
+	f := &fakeControl{entered: make(chan struct{}), release: make(chan struct{})}
 	c := client(t, f)
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { <-f.entered; cancel() }()
 	_, err := c.Submit(ctx, Edit{EditID: "e1", Operator: "ann", Configuration: configuration()})
-	close(f.release)                            // an earlier release lets the answer overtake the cancellation
-	is.Equal(result.Of(err), result.MayHaveRun) // the control has the edit already
+	close(f.release)                            // if closed earlier, the response could arrive before the cancellation
+	is.Equal(result.Of(err), result.MayHaveRun) // the EditControl already has the edit
 
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
--- a/io/admin/document.go
+++ b/io/admin/document.go
@@ -10,14 +10,14 @@
 )
 
 type (
-	// Document is a configuration in the JSON of the operators' API, with classes
-	// by name.
+	// Document is a configuration as the operators' API encodes it in JSON, with
+	// classes by name.
 	Document struct {
 		Inventory model.Inventory
 		Rules     RulesDocument
 	}
 
-	// RulesDocument is the rules of a Document.
+	// RulesDocument holds the rules of a Document.
 	RulesDocument struct {
 		Routes []RouteDocument
 	}
@@ -47,8 +47,8 @@
 	return d
 }
 
-// Configuration returns the configuration of the document. It returns an error
-// for an unknown class; the result can still be invalid as a whole.
+// Configuration returns the configuration of the document, or model.Faults for
+// unknown classes. It does not validate the configuration otherwise.
 func (d Document) Configuration() (model.Configuration, error) {
 	c := model.Configuration{Inventory: d.Inventory}
 	var faults model.Faults
--- a/io/admin/operator.go
+++ b/io/admin/operator.go
@@ -30,38 +30,39 @@
 
 	// operatorBodyBytes bounds the body of an operator's request.
 	operatorBodyBytes = 4 << 20
-	// controlMillis bounds the work on one request, which can wait for the
-	// platform.
-	controlMillis = 30 * clock.Second
-	// historyLimit is the number of releases in a history without a limit.
-	historyLimit = 50
-	// maxHistoryLimit bounds the number of releases in a history.
+	// handlerTimeoutMillis bounds the handling of one request, which can wait for
+	// the platform.
+	handlerTimeoutMillis = 30 * clock.Second
+	// defaultHistoryLimit is the number of releases that a history request returns
+	// if it has no limit.
+	defaultHistoryLimit = 50
+	// maxHistoryLimit bounds the limit of a history request.
 	maxHistoryLimit = 1000
 	// maxNameBytes bounds an edit id and an operator's name.
 	maxNameBytes = 64
 )
 
 type (
-	// State is what became of an edit.
+	// State is the state of an edit after its submission.
 	State string
 
 	// Edit proposes a configuration.
 	Edit struct {
-		// EditID is chosen at random by the submitter; a repeated submission
-		// with the same id is the same edit.
+		// EditID is chosen at random by the submitter; submissions with the same
+		// id are the same edit.
 		EditID ident.EditID
-		// Base is the version on which the edit is based; 0 for the first one.
+		// Base is the version on which the edit is based; 0 for the first release.
 		Base     ident.Version
 		Operator string
 		// ReleaseMillis is the release time since the Unix epoch; 0 and times in
 		// the past mean now.
 		ReleaseMillis clock.Millis
-		// DryRun asks what would happen and changes nothing.
+		// DryRun requests the outcome without changing anything.
 		DryRun        bool
 		Configuration model.Configuration
 	}
 
-	// editBody is an Edit as it stands in a request.
+	// editBody is the request body of an Edit.
 	editBody struct {
 		EditID        ident.EditID
 		Base          ident.Version
@@ -71,7 +72,7 @@
 		Configuration Document
 	}
 
-	// Outcome is what became of an edit.
+	// Outcome is the result of submitting an edit.
 	Outcome struct {
 		EditID ident.EditID
 		State  State
@@ -79,7 +80,7 @@
 		Version ident.Version
 		// ReleaseMillis is the release time of a scheduled edit.
 		ReleaseMillis clock.Millis
-		// Reason says why an edit was refused.
+		// Reason explains why an edit was refused.
 		Reason string `json:",omitempty"`
 		// Clashes are the fields that a refused edit and a release since its
 		// base changed to different values.
@@ -88,7 +89,7 @@
 		Changes []model.Change `json:",omitempty"`
 	}
 
-	// HistoryEntry is one release.
+	// HistoryEntry is one release in the history.
 	HistoryEntry struct {
 		Version        ident.Version
 		EditID         ident.EditID
@@ -97,7 +98,7 @@
 		AcceptedMillis clock.Millis
 	}
 
-	// releaseBody is a release as it stands in an answer.
+	// releaseBody is the response body of a release.
 	releaseBody struct {
 		Version       ident.Version
 		EditID        ident.EditID
@@ -105,11 +106,12 @@
 		Configuration Document
 	}
 
-	// EditControl takes edits and tells of releases. Its arguments share no
-	// memory with a request. A refused edit is an Outcome with the state Refused;
-	// an error is model.Faults for an invalid configuration, or carries the
-	// verdict whether the edit may have been accepted.
+	// EditControl accepts edits and provides releases. Its arguments share no
+	// memory with a request.
 	EditControl interface {
+		// Submit submits an edit. A refused edit is an Outcome with the state
+		// Refused; an error is model.Faults for an invalid configuration, or has
+		// a verdict that states whether the edit may have been accepted.
 		Submit(ctx context.Context, e Edit) (Outcome, error)
 		// History returns at most limit releases, newest first.
 		History(ctx context.Context, limit int) ([]HistoryEntry, error)
@@ -118,16 +120,16 @@
 		Configuration(ctx context.Context) (model.Release, error)
 	}
 
-	// Operators is the server for operators.
-	Operators struct {
-		// Listen is the TCP address; port 0 takes a free one.
+	// OperatorServer is the HTTPS server for operators.
+	OperatorServer struct {
+		// Listen is the TCP address; with port 0 the system chooses a free port.
 		Listen      string
 		Certificate tls.Certificate
 		// Credential is the SHA-256 digest of the bearer token.
 		Credential ident.Digest
 		Control    EditControl
 		Source     StatusSource
-		// Registry takes the counter of refused credentials; nil keeps it private.
+		// Registry, if not nil, gets the counter of refused credentials.
 		Registry prometheus.Registerer
 
 		unauthorized prometheus.Counter
@@ -135,8 +137,8 @@
 	}
 )
 
-// Open binds the address.
-func (o *Operators) Open() error {
+// Open binds the address and registers the metrics.
+func (o *OperatorServer) Open() error {
 	o.unauthorized = stats.Counter("operator_unauthorized_total", "Operators' requests with a missing or wrong credential.")
 	if err := stats.Register(o.Registry, o.unauthorized); err != nil {
 		return err
@@ -148,13 +150,13 @@
 	app.Get("/configuration", o.configuration)
 	app.Get("/status", func(c *fiber.Ctx) error { return c.JSON(o.Source.Status()) })
 	app.Get("/fleet", func(c *fiber.Ctx) error { return c.JSON(o.Source.Fleet()) })
-	settings := &tls.Config{Certificates: []tls.Certificate{o.Certificate}, MinVersion: tls.VersionTLS13}
-	return o.bind(o.Listen, app, func(l net.Listener) net.Listener { return tls.NewListener(l, settings) })
+	config := &tls.Config{Certificates: []tls.Certificate{o.Certificate}, MinVersion: tls.VersionTLS13}
+	return o.bind(o.Listen, app, func(l net.Listener) net.Listener { return tls.NewListener(l, config) })
 }
 
-// authorize refuses a request without the credential. A missing and a wrong one
-// get the same answer, for known and unknown paths alike.
-func (o *Operators) authorize(c *fiber.Ctx) error {
+// authorize refuses a request without the credential. The response is the same for a
+// missing and a wrong credential, and for known and unknown paths.
+func (o *OperatorServer) authorize(c *fiber.Ctx) error {
 	token, found := strings.CutPrefix(c.Get(fiber.HeaderAuthorization), "Bearer ")
 	if !keys.Matches(o.Credential, token) || !found || token == "" {
 		o.unauthorized.Inc()
@@ -165,21 +167,21 @@
 }
 
 // edit handles the submission of an edit.
-func (o *Operators) edit(c *fiber.Ctx) error {
+func (o *OperatorServer) edit(c *fiber.Ctx) error {
 	e, err := decodeEdit(c.BodyRaw())
 	if err != nil {
-		return refuse(c, err)
+		return respondError(c, err)
 	}
-	ctx, cancel := context.WithTimeout(c.UserContext(), controlMillis.Duration())
+	ctx, cancel := context.WithTimeout(c.UserContext(), handlerTimeoutMillis.Duration())
 	defer cancel()
 	out, err := o.Control.Submit(ctx, e)
 	if err != nil {
-		return refuse(c, err)
+		return respondError(c, err)
 	}
 	return c.Status(out.status()).JSON(out)
 }
 
-// decodeEdit decodes and validates an edit. It returns model.Faults for an
+// decodeEdit decodes and validates an edit. The error is model.Faults for an
 // invalid configuration.
 func decodeEdit(body []byte) (Edit, error) {
 	b, err := decode[editBody](body)
@@ -203,36 +205,37 @@
 }
 
 // history handles the request for the newest releases.
-func (o *Operators) history(c *fiber.Ctx) error {
-	limit := c.QueryInt("Limit", historyLimit)
+func (o *OperatorServer) history(c *fiber.Ctx) error {
+	limit := c.QueryInt("Limit", defaultHistoryLimit)
 	if limit < 1 || limit > maxHistoryLimit {
 		return fiber.NewError(fiber.StatusBadRequest, "Limit is refused; allowed: 1 to 1000")
 	}
-	ctx, cancel := context.WithTimeout(c.UserContext(), controlMillis.Duration())
+	ctx, cancel := context.WithTimeout(c.UserContext(), handlerTimeoutMillis.Duration())
 	defer cancel()
 	entries, err := o.Control.History(ctx, limit)
 	if err != nil {
-		return refuse(c, err)
+		return respondError(c, err)
 	}
 	return c.JSON(entries)
 }
 
 // configuration handles the request for the newest release.
-func (o *Operators) configuration(c *fiber.Ctx) error {
-	ctx, cancel := context.WithTimeout(c.UserContext(), controlMillis.Duration())
+func (o *OperatorServer) configuration(c *fiber.Ctx) error {
+	ctx, cancel := context.WithTimeout(c.UserContext(), handlerTimeoutMillis.Duration())
 	defer cancel()
 	r, err := o.Control.Configuration(ctx)
 	if err != nil {
-		return refuse(c, err)
+		return respondError(c, err)
 	}
 	return c.JSON(releaseBody{
 		Version: r.Version, EditID: r.EditID, Digest: r.Digest, Configuration: NewDocument(r.Configuration),
 	})
 }
 
-// refuse answers with an error: 422 with all faults of a configuration, 503 if
-// nothing was done, 502 if the outcome is unknown.
-func refuse(c *fiber.Ctx, err error) error {
+// respondError writes an error response: 422 with all faults of a configuration, 503
+// if nothing was done, 502 if the outcome is unknown. It returns a fiber.Error as it
+// is, for reportError.
+func respondError(c *fiber.Ctx, err error) error {
 	var known *fiber.Error
 	var faults model.Faults
 	switch {
@@ -240,8 +243,8 @@
 		return err
 	case errors.As(err, &faults):
 		f := failure{Error: "the configuration is invalid", Verdict: result.NotRun.String()}
-		for _, one := range faults {
-			f.Faults = append(f.Faults, fault(one))
+		for _, entry := range faults {
+			f.Faults = append(f.Faults, fault(entry))
 		}
 		return c.Status(fiber.StatusUnprocessableEntity).JSON(f)
 	case result.Of(err) == result.NotRun:
--- a/io/admin/server.go
+++ b/io/admin/server.go
@@ -1,4 +1,4 @@
-// Package admin provides a node's HTTP servers besides the one for callers: for
+// Package admin provides a node's HTTP servers other than the one for callers: for
 // metrics and status, for the target beside the node, and for operators.
 package admin
 
@@ -15,14 +15,14 @@
 )
 
 const (
-	// clientMillis bounds the reading of one request, the writing of its answer
-	// and the idle time of a connection, so that a silent client does not hold a
-	// connection, and a drain, for ever.
-	clientMillis = 10 * clock.Second
-	// stopMillis bounds the wait for requests in flight when Run ends.
-	stopMillis = 5 * clock.Second
-	// headerBytes bounds the header of a request.
-	headerBytes = 8 << 10
+	// clientTimeoutMillis bounds the reading of one request, the writing of its
+	// response and the idle time of a connection, so that an unresponsive client
+	// does not keep its connection open, and delay a drain, without limit.
+	clientTimeoutMillis = 10 * clock.Second
+	// shutdownTimeoutMillis bounds the wait for requests in flight when Run ends.
+	shutdownTimeoutMillis = 5 * clock.Second
+	// maxHeaderBytes bounds the header of a request.
+	maxHeaderBytes = 8 << 10
 )
 
 type (
@@ -32,16 +32,16 @@
 		listener net.Listener
 	}
 
-	// failure is the body of an answer that reports an error.
+	// failure is the body of an error response.
 	failure struct {
 		Error string
-		// Verdict says whether a failed edit may have been accepted.
+		// Verdict states whether a failed edit may have been accepted.
 		Verdict string `json:",omitempty"`
-		// Faults are the things wrong with a configuration.
+		// Faults are the errors in an invalid configuration.
 		Faults []fault `json:",omitempty"`
 	}
 
-	// fault is one thing wrong with a configuration.
+	// fault is the encoding of a model.Fault.
 	fault struct {
 		Field   string
 		Value   string
@@ -50,8 +50,8 @@
 )
 
 // newApp returns an app that refuses bodies above bodyBytes and reports errors as
-// JSON. It reads bodies of up to twice that size, because a refusal without
-// reading resets the connection and can reach the client without its answer.
+// JSON. It reads bodies of up to twice that size, because a refusal without reading
+// the body resets the connection, and the client may then not receive the response.
 func newApp(bodyBytes int) *fiber.App {
 	app := fiber.New(fiber.Config{
 		DisableStartupMessage:        true,
@@ -59,15 +59,15 @@
 		StrictRouting:                true,
 		CaseSensitive:                true,
 		BodyLimit:                    2 * bodyBytes,
-		ReadBufferSize:               headerBytes,
-		ReadTimeout:                  clientMillis.Duration(),
-		WriteTimeout:                 clientMillis.Duration(),
-		IdleTimeout:                  clientMillis.Duration(),
+		ReadBufferSize:               maxHeaderBytes,
+		ReadTimeout:                  clientTimeoutMillis.Duration(),
+		WriteTimeout:                 clientTimeoutMillis.Duration(),
+		IdleTimeout:                  clientTimeoutMillis.Duration(),
 		ErrorHandler:                 reportError,
 	})
 	app.Use(recover.New())
 	app.Use(func(c *fiber.Ctx) error {
-		// Body would inflate a compressed body without a limit.
+		// c.Body would decompress a compressed body without a limit.
 		if len(c.BodyRaw()) > bodyBytes {
 			return fiber.ErrRequestEntityTooLarge
 		}
@@ -76,7 +76,7 @@
 	return app
 }
 
-// reportError answers a request that failed outside of a handler's own answers.
+// reportError writes the response to a request whose handler returned an error.
 func reportError(c *fiber.Ctx, err error) error {
 	status, text := fiber.StatusInternalServerError, "internal error"
 	var known *fiber.Error
@@ -86,7 +86,7 @@
 	return c.Status(status).JSON(failure{Error: text})
 }
 
-// bind binds the address; wrap, if not nil, replaces the listener.
+// bind binds the address; wrap, if not nil, wraps the listener.
 func (s *server) bind(address string, app *fiber.App, wrap func(net.Listener) net.Listener) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// Address returns host:port of the bound address, known after Open.
+// Address returns the bound address as host:port. It must be called after Open.
 func (s *server) Address() string {
 	return s.listener.Addr().String()
 }
@@ -116,7 +116,7 @@
 		return err
 	case <-ctx.Done():
 	}
-	grace, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopMillis.Duration())
+	grace, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeoutMillis.Duration())
 	defer cancel()
 	return s.Drain(grace)
 }
@@ -124,8 +124,8 @@
 // Drain stops accepting connections and waits for the requests in flight, at most
 // until ctx ends.
 func (s *server) Drain(ctx context.Context) error {
-	// The app does not know the listener before its own start, so Shutdown alone
-	// could leave it open.
+	// The app does not have the listener before it starts to serve, so its shutdown
+	// alone could leave the listener open.
 	if err := s.listener.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
 		return err
 	}
--- a/io/admin/server_test.go
+++ b/io/admin/server_test.go
@@ -12,17 +12,17 @@
 	"hickoryrail/io/keys"
 )
 
-// TestDrain guards against a stop that interrupts a request in flight or that does
+// TestDrain guards against a drain that interrupts a request in flight or that does
 // not wait for it.
 func TestDrain(t *testing.T) {
 	is := is.New(t)
-	f := &fake{entered: make(chan struct{}), release: make(chan struct{}), out: Outcome{State: Accepted}}
+	f := &fakeControl{entered: make(chan struct{}), release: make(chan struct{}), out: Outcome{State: Accepted}}
 	directory := t.TempDir()
 	_, err := keys.CreateFleet(directory, []ident.NodeID{"a1"})
 	is.NoErr(err)
 	identity, err := keys.LoadIdentity(directory, "a1")
 	is.NoErr(err)
-	o := &Operators{
+	o := &OperatorServer{
 		Listen: "127.0.0.1:0", Certificate: identity.Certificate, Credential: ident.Sum([]byte(token)), Control: f, Source: f,
 	}
 	is.NoErr(o.Open())
@@ -35,19 +35,19 @@
 	<-f.entered
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
-	is.True(errors.Is(o.Drain(ended), context.Canceled)) // it sees the request in flight
+	is.True(errors.Is(o.Drain(ended), context.Canceled)) // it waits for the request in flight
 	is.NoErr(<-ran)
 	close(f.release)
 	is.Equal(<-answered, 200)
 }
 
-// TestRunEndsAtOnce guards against a server that runs on if its context ends
-// before the listener is served.
+// TestRunEndsAtOnce guards against a server that keeps running if its context ends
+// before it serves the listener.
 func TestRunEndsAtOnce(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	for range 50 {
-		s := &Targets{Listen: "127.0.0.1:0", Control: &fake{}}
+		s := &TargetServer{Listen: "127.0.0.1:0", Control: &fakeControl{}}
 		is.New(t).NoErr(s.Open())
 		is.New(t).NoErr(s.Run(ctx))
 	}
@@ -67,8 +67,8 @@
 	})
 }
 
-// FuzzDecodeAnnouncement guards against a panic and against a body that is
-// accepted although it differs from what its decoded value says.
+// FuzzDecodeAnnouncement guards against a panic and against a decoded announcement
+// that changes when it is encoded and decoded again.
 func FuzzDecodeAnnouncement(f *testing.F) {
 	f.Add([]byte(`{"Target":"t1","Service":"orders","Address":"127.0.0.1:9","InFlight":2}`))
 	f.Add([]byte(`{"Target":"t1","target":"t2"}`))
--- a/io/admin/status.go
+++ b/io/admin/status.go
@@ -10,7 +10,7 @@
 )
 
 type (
-	// Status is what a node says of itself and of the fleet as it sees it.
+	// Status is the state of a node and its view of the fleet.
 	Status struct {
 		Node          ident.NodeID
 		FailureDomain ident.FailureDomain
@@ -20,7 +20,7 @@
 		Version ident.Version
 		EditID  ident.EditID
 		Digest  ident.Digest
-		// Reasons say why the node is not ready; empty if it is.
+		// Reasons explain why the node is not ready; empty if it is ready.
 		Reasons []string
 		// Members counts the known nodes by state.
 		Members map[string]int
@@ -28,7 +28,7 @@
 		Lease   LeaseStatus
 	}
 
-	// TargetStatus is one target as this node sees it.
+	// TargetStatus is the node's view of one target.
 	TargetStatus struct {
 		Target        ident.TargetID
 		Node          ident.NodeID
@@ -37,13 +37,13 @@
 		State         string
 	}
 
-	// LeaseStatus is the reader's lease of the region as this node sees it.
+	// LeaseStatus is the node's view of the reader's lease in its region.
 	LeaseStatus struct {
 		Holder ident.NodeID
 		Epoch  ident.Epoch
 	}
 
-	// NodeStatus is one node of the fleet with the release that it holds.
+	// NodeStatus is one node of the fleet with the version that it holds.
 	NodeStatus struct {
 		Node          ident.NodeID
 		FailureDomain ident.FailureDomain
@@ -52,17 +52,17 @@
 		Held          ident.Version
 	}
 
-	// StatusSource tells the state of a node. It is safe for concurrent use, and
-	// its results are not changed afterwards.
+	// StatusSource provides the state of a node. It is safe for concurrent use, and
+	// its results are not modified after they are returned.
 	StatusSource interface {
 		Status() Status
-		// Fleet returns every known node, this one included.
+		// Fleet returns every known node, including this one.
 		Fleet() []NodeStatus
 	}
 
-	// Admin is the server for metrics, health and status.
-	Admin struct {
-		// Listen is the TCP address; port 0 takes a free one.
+	// StatusServer is the HTTP server for metrics, health and status.
+	StatusServer struct {
+		// Listen is the TCP address; with port 0 the system chooses a free port.
 		Listen  string
 		Metrics prometheus.Gatherer
 		Source  StatusSource
@@ -71,8 +71,8 @@
 )
 
 // Open binds the address.
-func (a *Admin) Open() error {
-	app := newApp(headerBytes)
+func (a *StatusServer) Open() error {
+	app := newApp(maxHeaderBytes)
 	app.Get("/metrics", adaptor.HTTPHandler(stats.Handler(a.Metrics)))
 	app.Get("/healthz", func(c *fiber.Ctx) error { return c.SendString("ok\n") })
 	app.Get("/readyz", a.ready)
@@ -80,8 +80,8 @@
 	return a.bind(a.Listen, app, nil)
 }
 
-// ready answers 200, or 503 with the reasons.
-func (a *Admin) ready(c *fiber.Ctx) error {
+// ready handles the readiness check: it responds with 200, or 503 and the reasons.
+func (a *StatusServer) ready(c *fiber.Ctx) error {
 	status, reasons := fiber.StatusOK, a.Source.Status().Reasons
 	if len(reasons) > 0 {
 		status = fiber.StatusServiceUnavailable
--- a/io/admin/target.go
+++ b/io/admin/target.go
@@ -14,13 +14,13 @@
 const (
 	// targetBodyBytes bounds the body of a target's request.
 	targetBodyBytes = 4 << 10
-	// maxInFlight bounds the requests that a target reports; it is the bound of
-	// a service's slots.
+	// maxInFlight bounds the number of requests that a target reports; a service's
+	// slots have the same bound.
 	maxInFlight = 100_000
 )
 
 type (
-	// Announcement is a target's statement that it exists.
+	// Announcement registers a target at the node beside it.
 	Announcement struct {
 		Target  ident.TargetID
 		Service ident.ServiceName
@@ -28,36 +28,38 @@
 		Address string
 		// InFlight is the number of requests that the target already runs.
 		InFlight int
-		// Starting says that the target does not take requests yet.
+		// Starting is true if the target does not accept requests yet.
 		Starting bool
 	}
 
-	// Renewal is a target's statement that it still exists.
+	// Renewal extends the registration of a target, which expires otherwise.
 	Renewal struct {
 		Target ident.TargetID
 		// InFlight is the number of requests that the target runs.
 		InFlight int
-		// Starting says that the target does not take requests yet.
+		// Starting is true if the target does not accept requests yet.
 		Starting bool
 	}
 
-	// Report is one statement of a target with the order that the target gives it.
+	// Report is one report of a target, with the target's own ordering of its reports
+	// in Status.
 	Report struct {
 		report.Status
-		// Announcement describes the target; it is empty in a goodbye.
+		// Announcement describes the target; it is empty if the target leaves.
 		Announcement Announcement
-		// Slots is the number of requests that the target runs at the same time.
+		// Slots is the number of requests that the target can run at the same time.
 		Slots ident.Slots
 	}
 
-	// targetName is the body of a drain or leave.
-	targetName struct {
+	// targetBody is the body of a drain or leave request.
+	targetBody struct {
 		Target ident.TargetID
 	}
 
-	// TargetControl takes the statements of the target beside the node. Its
-	// arguments share no memory with a request. ErrUnknownTarget reports a
-	// target that has not announced itself; nothing has changed after an error.
+	// TargetControl handles the announcements, renewals, drains and departures of the
+	// target beside the node. Its arguments share no memory with a request. The error
+	// is ErrUnknownTarget for a target that is not registered; nothing has changed
+	// after an error.
 	TargetControl interface {
 		Announce(a Announcement) error
 		Renew(r Renewal) error
@@ -65,12 +67,12 @@
 		Leave(t ident.TargetID) error
 	}
 
-	// Targets is the server at which the target announces itself.
-	Targets struct {
-		// Listen is a loopback TCP address; port 0 takes a free one.
+	// TargetServer is the HTTP server at which the target announces itself.
+	TargetServer struct {
+		// Listen is a loopback TCP address; with port 0 the system chooses a free port.
 		Listen string
-		// Target and Service are the only ones that are accepted; both are empty
-		// at an ingress-only node, which refuses every announcement.
+		// Target and Service are the only target and service that are accepted; both
+		// are empty at an ingress-only node, which refuses every announcement.
 		Target  ident.TargetID
 		Service ident.ServiceName
 		Control TargetControl
@@ -79,21 +81,21 @@
 )
 
 // ErrUnknownTarget reports a target that has not announced itself or whose
-// announcement has lapsed; it has to announce itself again.
+// registration has expired; it has to announce itself again.
 var ErrUnknownTarget = errors.New("target has not announced itself")
 
 // Open binds the address.
-func (t *Targets) Open() error {
+func (t *TargetServer) Open() error {
 	app := newApp(targetBodyBytes)
 	app.Post("/announce", t.announce)
 	app.Post("/renew", t.renew)
-	app.Post("/drain", t.named(t.Control.Drain))
-	app.Post("/leave", t.named(t.Control.Leave))
+	app.Post("/drain", t.targetHandler(t.Control.Drain))
+	app.Post("/leave", t.targetHandler(t.Control.Leave))
 	return t.bind(t.Listen, app, nil)
 }
 
 // announce handles an announcement.
-func (t *Targets) announce(c *fiber.Ctx) error {
+func (t *TargetServer) announce(c *fiber.Ctx) error {
 	a, err := decode[Announcement](c.BodyRaw())
 	if err != nil {
 		return fiber.NewError(fiber.StatusBadRequest, err.Error())
@@ -113,11 +115,11 @@
 	if err := checkInFlight(a.InFlight); err != nil {
 		return err
 	}
-	return answer(c, t.Control.Announce(a))
+	return respond(c, t.Control.Announce(a))
 }
 
 // renew handles a renewal.
-func (t *Targets) renew(c *fiber.Ctx) error {
+func (t *TargetServer) renew(c *fiber.Ctx) error {
 	r, err := decode[Renewal](c.BodyRaw())
 	if err != nil {
 		return fiber.NewError(fiber.StatusBadRequest, err.Error())
@@ -128,25 +130,25 @@
 	if err := checkInFlight(r.InFlight); err != nil {
 		return err
 	}
-	return answer(c, t.Control.Renew(r))
+	return respond(c, t.Control.Renew(r))
 }
 
-// named returns the handler of a request that only names the target.
-func (t *Targets) named(act func(ident.TargetID) error) fiber.Handler {
+// targetHandler returns a handler that calls act with the target that a request names.
+func (t *TargetServer) targetHandler(act func(ident.TargetID) error) fiber.Handler {
 	return func(c *fiber.Ctx) error {
-		n, err := decode[targetName](c.BodyRaw())
+		n, err := decode[targetBody](c.BodyRaw())
 		if err != nil {
 			return fiber.NewError(fiber.StatusBadRequest, err.Error())
 		}
 		if err := t.checkTarget(n.Target); err != nil {
 			return err
 		}
-		return answer(c, act(n.Target))
+		return respond(c, act(n.Target))
 	}
 }
 
 // checkTarget returns an error unless target is the node's own.
-func (t *Targets) checkTarget(target ident.TargetID) error {
+func (t *TargetServer) checkTarget(target ident.TargetID) error {
 	if t.Target == "" {
 		return fiber.NewError(fiber.StatusForbidden, "this node has no target")
 	}
@@ -157,7 +159,7 @@
 	return nil
 }
 
-// checkInFlight returns an error for a count that no target can have.
+// checkInFlight returns an error for a number of requests that is out of range.
 func checkInFlight(n int) error {
 	if n < 0 || n > maxInFlight {
 		return fiber.NewError(fiber.StatusBadRequest,
@@ -166,8 +168,8 @@
 	return nil
 }
 
-// answer answers with the outcome of a statement.
-func answer(c *fiber.Ctx, err error) error {
+// respond writes the response to a target's request, whose result is err.
+func respond(c *fiber.Ctx, err error) error {
 	switch {
 	case err == nil:
 		return c.SendStatus(fiber.StatusNoContent)
--- a/io/cmds/apply.go
+++ b/io/cmds/apply.go
@@ -18,44 +18,44 @@
 )
 
 const (
-	// submitAttempts bounds the submissions of one edit whose answer is lost. A
-	// repeated submission with the same edit id cannot be accepted twice.
+	// submitAttempts bounds the submissions of one edit whose response is lost. An
+	// edit that is submitted again under the same id cannot be accepted twice.
 	submitAttempts = 4
-	// submitPauseMillis is the wait before the next submission.
+	// submitPauseMillis is the pause between two submissions.
 	submitPauseMillis = 500 * clock.Millis(1)
-	// newest is the value of -base for the newest version.
-	newest = -1
+	// newestBase is the value of -base that stands for the newest version.
+	newestBase = -1
 )
 
 type (
-	// proposal holds the flags of an edit.
-	proposal struct {
-		connection
-		sources
+	// editFlags holds the flags of the commands plan and apply.
+	editFlags struct {
+		nodeFlags
+		fileFlags
 		base     int64
 		at       string
 		edit     string
 		operator string
 	}
 
-	// submitter takes edits.
+	// submitter submits edits to a node.
 	submitter interface {
 		Submit(ctx context.Context, e admin.Edit) (admin.Outcome, error)
 	}
 )
 
-// errUnknown reports an edit that may have been accepted.
-var errUnknown = errors.New("the outcome is unknown")
+// errOutcomeUnknown reports an edit that may have been accepted.
+var errOutcomeUnknown = errors.New("the outcome is unknown")
 
 // flags defines the flags.
-func (p *proposal) flags(f *flag.FlagSet) {
-	p.connection.flags(f)
-	p.sources.flags(f)
+func (p *editFlags) flags(f *flag.FlagSet) {
+	p.nodeFlags.flags(f)
+	p.fileFlags.flags(f)
 }
 
-// planCommand shows what an edit would change.
+// planCommand returns the command that shows what an edit would change.
 func planCommand(stdout io.Writer) *command {
-	var p proposal
+	var p editFlags
 	return &command{
 		name: "plan", synopsis: "show what an edit would change, without changing anything",
 		usage: `hickoryrail plan -inventory FILE -rules FILE [-base N] [-node URL]
@@ -70,7 +70,7 @@
 `,
 		flags: func(f *flag.FlagSet) {
 			p.flags(f)
-			f.Int64Var(&p.base, "base", newest, "`version` on which the files are based; -1 is the newest")
+			f.Int64Var(&p.base, "base", newestBase, "`version` on which the files are based; -1 is the newest")
 		},
 		run: func(ctx context.Context, args []string) error {
 			if err := noArguments(args); err != nil {
@@ -81,13 +81,13 @@
 	}
 }
 
-// plan submits a dry run.
-func (p *proposal) plan(ctx context.Context, stdout io.Writer) error {
+// plan submits a dry run and prints its outcome.
+func (p *editFlags) plan(ctx context.Context, stdout io.Writer) error {
 	configuration, err := p.load()
 	if err != nil {
 		return err
 	}
-	client, err := p.open()
+	client, err := p.newClient()
 	if err != nil {
 		return err
 	}
@@ -103,7 +103,7 @@
 		EditID: admin.NewEditID(), Base: base, Operator: operatorName(), DryRun: true, Configuration: configuration,
 	})
 	if err != nil {
-		return explain(err)
+		return notApplied(err)
 	}
 	if err := printChanges(stdout, out); err != nil {
 		return err
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// printChanges prints what an edit changes, or returns the reason of its refusal.
+// printChanges prints what an edit changes; a refused edit is an error.
 func printChanges(stdout io.Writer, out admin.Outcome) error {
 	if out.State == admin.Refused {
 		return refusal(out)
@@ -137,16 +137,16 @@
 	return nil
 }
 
-// applyCommand submits an edit.
+// applyCommand returns the command that submits an edit.
 func applyCommand(stdout io.Writer) *command {
-	var p proposal
+	var p editFlags
 	return &command{
 		name: "apply", synopsis: "submit an edit, now or for a release time",
 		usage: `hickoryrail apply -inventory FILE -rules FILE -base N [-at TIME] [-edit ID] [-node URL]
 
 Submits the files as an edit that is based on version N, which plan prints; 0 is
 for the first release. Changes by other edits since then are kept; if both change
-the same field, the edit is refused and nothing changes. If an answer is lost,
+the same field, the edit is refused and nothing changes. If a response is lost,
 the edit is submitted again under the same id, which cannot apply it twice.
 
 Examples:
@@ -155,7 +155,7 @@
 `,
 		flags: func(f *flag.FlagSet) {
 			p.flags(f)
-			f.Int64Var(&p.base, "base", newest, "`version` on which the files are based")
+			f.Int64Var(&p.base, "base", newestBase, "`version` on which the files are based")
 			f.StringVar(&p.at, "at", "", "release `time` such as 2027-01-04T06:00:00Z; empty is now")
 			f.StringVar(&p.edit, "edit", "", "edit `id` of an earlier submission whose outcome is unknown")
 			f.StringVar(&p.operator, "operator", operatorName(), "`name` for the history")
@@ -170,7 +170,7 @@
 }
 
 // apply submits the edit and prints its outcome.
-func (p *proposal) apply(ctx context.Context, stdout io.Writer) error {
+func (p *editFlags) apply(ctx context.Context, stdout io.Writer) error {
 	if p.base < 0 {
 		return usageError{"-base is missing; plan prints it"}
 	}
@@ -189,22 +189,22 @@
 	if e.Configuration, err = p.load(); err != nil {
 		return err
 	}
-	client, err := p.open()
+	client, err := p.newClient()
 	if err != nil {
 		return err
 	}
 	out, err := submit(ctx, client, e, submitPauseMillis)
-	if errors.Is(err, errUnknown) {
+	if errors.Is(err, errOutcomeUnknown) {
 		return fmt.Errorf("repeat the command with -edit %s to learn the outcome: %w", e.EditID, err)
 	}
 	if err != nil {
-		return explain(err)
+		return notApplied(err)
 	}
 	return printOutcome(stdout, out)
 }
 
-// submit submits an edit until its outcome is known, a few times at most. The
-// error is errUnknown if the edit may have been accepted; any other error means
+// submit submits an edit until its outcome is known, at most submitAttempts times. The
+// error is errOutcomeUnknown if the edit may have been accepted; any other error means
 // that it was not.
 func submit(ctx context.Context, s submitter, e admin.Edit, pause clock.Millis) (admin.Outcome, error) {
 	unknown := false
@@ -213,13 +213,13 @@
 		if err == nil {
 			return out, nil
 		}
-		// A refusal of this attempt says nothing of an earlier one.
+		// A refusal of this attempt does not mean that earlier ones were refused.
 		unknown = unknown || mayBeAccepted(err)
 		if !unknown {
 			return out, err
 		}
 		if attempt == submitAttempts || ctx.Err() != nil {
-			return out, fmt.Errorf("%w: %w", errUnknown, err)
+			return out, fmt.Errorf("%w: %w", errOutcomeUnknown, err)
 		}
 		select {
 		case <-ctx.Done():
@@ -228,19 +228,19 @@
 	}
 }
 
-// mayBeAccepted reports whether an edit may have been accepted in spite of err.
+// mayBeAccepted reports whether an edit may have been accepted despite err.
 func mayBeAccepted(err error) bool {
 	var faults model.Faults
 	return !errors.As(err, &faults) && result.Of(err) == result.MayHaveRun
 }
 
-// printOutcome prints what became of an edit; a refused edit is an error.
+// printOutcome prints the outcome of an edit; a refused edit is an error.
 func printOutcome(stdout io.Writer, out admin.Outcome) error {
 	switch out.State {
 	case admin.Refused:
 		return refusal(out)
 	case admin.Scheduled:
-		fmt.Fprintf(stdout, "edit %s is scheduled for %s\n", out.EditID, instant(out.ReleaseMillis))
+		fmt.Fprintf(stdout, "edit %s is scheduled for %s\n", out.EditID, formatTime(out.ReleaseMillis))
 	default:
 		fmt.Fprintf(stdout, "edit %s is release %d\n", out.EditID, out.Version)
 	}
@@ -259,12 +259,12 @@
 	return errors.New(text)
 }
 
-// explain adds to the error of a submission that nothing changed.
-func explain(err error) error {
+// notApplied adds to the error of a submission that the edit changed nothing.
+func notApplied(err error) error {
 	return fmt.Errorf("nothing changed: %w", err)
 }
 
-// operatorName returns the name of the user who runs the command.
+// operatorName returns the name of the user who runs the command, for the history.
 func operatorName() string {
 	if u, err := user.Current(); err == nil && u.Username != "" {
 		return u.Username
--- a/io/cmds/check.go
+++ b/io/cmds/check.go
@@ -13,29 +13,29 @@
 	"hickoryrail/io/files"
 )
 
-// sources holds the flags that name the files of a configuration.
-type sources struct {
+// fileFlags holds the flags that name the files of a configuration.
+type fileFlags struct {
 	inventory string
 	rules     string
 }
 
 // flags defines the flags.
-func (s *sources) flags(f *flag.FlagSet) {
+func (s *fileFlags) flags(f *flag.FlagSet) {
 	f.StringVar(&s.inventory, "inventory", "", "inventory `file`")
 	f.StringVar(&s.rules, "rules", "", "rules `file`")
 }
 
 // load reads and validates the configuration.
-func (s *sources) load() (model.Configuration, error) {
+func (s *fileFlags) load() (model.Configuration, error) {
 	if s.inventory == "" || s.rules == "" {
 		return model.Configuration{}, usageError{"-inventory and -rules are both needed"}
 	}
 	return files.Load(s.inventory, s.rules)
 }
 
-// checkCommand checks files without a node.
+// checkCommand returns the command that checks files without a node.
 func checkCommand(stdout io.Writer) *command {
-	var s sources
+	var s fileFlags
 	var config string
 	return &command{
 		name: "check", synopsis: "check settings, inventory and rules files",
@@ -69,7 +69,7 @@
 }
 
 // check checks the files that are named.
-func (s *sources) check(config string) error {
+func (s *fileFlags) check(config string) error {
 	var settings, configuration error
 	if config != "" {
 		_, settings = conf.Load(config)
@@ -78,7 +78,7 @@
 	case s.rules != "":
 		_, configuration = s.load()
 	case s.inventory != "":
-		// An inventory is complete without rules.
+		// An inventory can be checked on its own, with empty rules.
 		_, configuration = files.Load(s.inventory, os.DevNull)
 	}
 	return errors.Join(settings, configuration)
--- a/io/cmds/cmds_test.go
+++ b/io/cmds/cmds_test.go
@@ -25,21 +25,22 @@
 	"hickoryrail/io/keys"
 )
 
-// fleet is a node's control and status for the tests.
-type fleet struct {
+// fakeControl is an admin.EditControl and admin.StatusSource with preset results. It
+// records submitted edits.
+type fakeControl struct {
 	mu    sync.Mutex
 	edits []admin.Edit
-	// errs are returned by the first submissions, one each.
+	// errs are the errors of the first submissions, in order.
 	errs  []error
 	out   admin.Outcome
 	nodes []admin.NodeStatus
-	// empty says that there is no release.
+	// empty is true if there is no release.
 	empty bool
-	// looks counts the calls of Fleet.
-	looks int
+	// fleetCalls counts the calls of Fleet.
+	fleetCalls int
 }
 
-func (f *fleet) Submit(_ context.Context, e admin.Edit) (admin.Outcome, error) {
+func (f *fakeControl) Submit(_ context.Context, e admin.Edit) (admin.Outcome, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.edits = append(f.edits, e)
@@ -51,29 +52,29 @@
 	return out, nil
 }
 
-func (f *fleet) History(context.Context, int) ([]admin.HistoryEntry, error) {
+func (f *fakeControl) History(context.Context, int) ([]admin.HistoryEntry, error) {
 	return []admin.HistoryEntry{{Version: 3, Operator: "ann", AcceptedMillis: 1.7e12}}, nil
 }
 
-func (f *fleet) Configuration(context.Context) (model.Release, error) {
+func (f *fakeControl) Configuration(context.Context) (model.Release, error) {
 	if f.empty {
 		return model.Release{}, nil
 	}
 	return model.NewRelease(3, "e3", configuration())
 }
 
-func (f *fleet) Status() admin.Status {
+func (f *fakeControl) Status() admin.Status {
 	return admin.Status{Node: "a1", Version: 3, Reasons: []string{"no version floor"}, Members: map[string]int{"Alive": 2}}
 }
 
-// Fleet lets one more node hold version 3 at each look.
-func (f *fleet) Fleet() []admin.NodeStatus {
+// Fleet returns the nodes. With each call one more node holds version 3.
+func (f *fakeControl) Fleet() []admin.NodeStatus {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for i := range min(f.looks, len(f.nodes)) {
+	for i := range min(f.fleetCalls, len(f.nodes)) {
 		f.nodes[i].Held = max(f.nodes[i].Held, 3)
 	}
-	f.looks++
+	f.fleetCalls++
 	return append([]admin.NodeStatus(nil), f.nodes...)
 }
 
@@ -100,7 +101,7 @@
 			_, err := io.WriteString(stdout, "node "+string(s.Node))
 			return err
 		},
-		Target: func(TargetOptions) TargetServer { return &served{} },
+		Target: func(TargetOptions) StandInTarget { return &fakeTarget{} },
 		Demo: Backend{
 			Flags: func(f *flag.FlagSet) { f.Int("nodes", 3, "nodes") },
 			Run:   func(context.Context, io.Writer, []string) error { return errors.New("demo failed") },
@@ -108,8 +109,8 @@
 	}
 }
 
-// serve starts an operators' server on f and returns the flags to reach it.
-func serve(t *testing.T, f *fleet) []string {
+// serve starts an admin.OperatorServer on f and returns the flags to reach it.
+func serve(t *testing.T, f *fakeControl) []string {
 	t.Helper()
 	directory := t.TempDir()
 	if _, err := keys.CreateFleet(directory, []ident.NodeID{"a1"}); err != nil {
@@ -123,7 +124,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := &admin.Operators{Listen: "127.0.0.1:0", Certificate: identity.Certificate, Credential: digest, Control: f, Source: f}
+	o := &admin.OperatorServer{Listen: "127.0.0.1:0", Certificate: identity.Certificate, Credential: digest, Control: f, Source: f}
 	if err := o.Open(); err != nil {
 		t.Fatal(err)
 	}
@@ -137,16 +138,17 @@
 	}
 }
 
-// run runs a command line and returns its status and outputs.
+// run runs a command line and returns its exit status, standard output and standard
+// error.
 func run(args ...string) (int, string, string) {
 	var stdout, stderr bytes.Buffer
 	status := Run(context.Background(), args, &stdout, &stderr, backends())
 	return status, stdout.String(), stderr.String()
 }
 
-// TestStatus guards against a fault with exit status 0, a wrong command line that
-// is not told from a fault, and an error that is not shown on standard error.
-func TestStatus(t *testing.T) {
+// TestExitStatus guards against an error with exit status 0, an invalid command line
+// whose exit status is not 2, and an error that is not printed on standard error.
+func TestExitStatus(t *testing.T) {
 	config := filepath.Join(t.TempDir(), "a1.toml")
 	text := "Node = \"a1\"\nFailureDomain = \"a\"\nRegion = \"r\"\nPlatformURL = \"http://127.0.0.1:1\"\n"
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
@@ -210,10 +212,10 @@
 	}
 }
 
-// TestOperatorCommands guards against a command that shows another state than the
-// node's.
+// TestOperatorCommands guards against a command whose output differs from the state of
+// the node.
 func TestOperatorCommands(t *testing.T) {
-	f := &fleet{out: admin.Outcome{
+	f := &fakeControl{out: admin.Outcome{
 		State: admin.Valid, Changes: []model.Change{{Field: "Service/orders/Slots", Old: "6", New: "8"}},
 	}}
 	flags := serve(t, f)
@@ -264,7 +266,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			f := &fleet{errs: c.errs, out: c.out}
+			f := &fakeControl{errs: c.errs, out: c.out}
 			line := append(strings.Fields("apply -inventory ../../examples/sitaki/inventory.toml -rules ../../examples/sitaki/rules.toml -base 3 -operator ann"), serve(t, f)...)
 			status, stdout, stderr := run(line...)
 			is.Equal(status, c.status)
@@ -287,17 +289,17 @@
 		model.Faults{{Field: "Route/x/Class"}},
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		f := &fleet{errs: rapid.SliceOfN(rapid.SampledFrom(failures), submitAttempts, submitAttempts).Draw(t, "errs")}
+		f := &fakeControl{errs: rapid.SliceOfN(rapid.SampledFrom(failures), submitAttempts, submitAttempts).Draw(t, "errs")}
 		_, err := submit(context.Background(), f, admin.Edit{EditID: "e1"}, 0)
-		lost := false
+		responseLost := false
 		for i, e := range f.errs {
-			lost = lost || e == failures[1] || e == failures[2]
-			last := e == nil || !lost || i == submitAttempts-1
+			responseLost = responseLost || e == failures[1] || e == failures[2]
+			last := e == nil || !responseLost || i == submitAttempts-1
 			if last != (i == len(f.edits)-1) {
 				t.Fatalf("%d submissions of %v", len(f.edits), f.errs)
 			}
 			if last {
-				if (err == nil) != (e == nil) || errors.Is(err, errUnknown) != (e != nil && lost) {
+				if (err == nil) != (e == nil) || errors.Is(err, errOutcomeUnknown) != (e != nil && responseLost) {
 					t.Fatalf("%v gave %v", f.errs, err)
 				}
 				return
@@ -306,8 +308,8 @@
 	})
 }
 
-// served is a target that notes what happens to it.
-type served struct{ events []string }
+// fakeTarget is a StandInTarget that records its calls.
+type fakeTarget struct{ events []string }
 
 // TestWatch guards against a watch that ends before every live node holds the
 // release, or that waits for a dead one.
@@ -319,7 +321,7 @@
 		{Node: "a3", State: "Dead", Held: 1},
 		{Node: "a4", State: "Left"},
 	}
-	f := &fleet{nodes: nodes}
+	f := &fakeControl{nodes: nodes}
 	status, stdout, _ := run(append([]string{"watch"}, serve(t, f)...)...)
 	is.Equal(status, 0)
 	is.Equal(stdout, "version 3 is in force on 1 of 2 live nodes; behind: a2 (holds 2, Suspect); dead: a3\n"+
@@ -331,10 +333,10 @@
 	var p progress
 	is.NoErr(json.Unmarshal([]byte(stdout), &p))
 	is.Equal(p.Laggards[1].Node, ident.NodeID("a2"))
-	status, _, stderr = run(append([]string{"watch"}, serve(t, &fleet{empty: true, nodes: nodes})...)...)
+	status, _, stderr = run(append([]string{"watch"}, serve(t, &fakeControl{empty: true, nodes: nodes})...)...)
 	is.Equal(status, 1)
 	is.True(strings.Contains(stderr, "no release yet")) // version 0 is not in force
-	is.True(!progressOf(1, nil).done())                 // a fleet that is not known is not done
+	is.True(!progressOf(1, nil).done())                 // false without live nodes
 }
 
 // TestExamples guards against an example that is no longer accepted or that lacks
--- a/io/cmds/command.go
+++ b/io/cmds/command.go
@@ -17,19 +17,20 @@
 )
 
 type (
-	// Backends are the parts of the program that package main wires. A command
-	// whose backend is nil is not offered.
+	// Backends are the implementations of commands that package main provides. A
+	// command whose backend is nil is not available.
 	Backends struct {
 		// Node runs a node until ctx ends and then stops it gracefully.
 		Node func(ctx context.Context, s conf.Settings, stdout io.Writer) error
 		// Target creates a stand-in target.
-		Target func(o TargetOptions) TargetServer
-		Demo   Backend
+		Target func(o TargetOptions) StandInTarget
+		// Demo runs the demonstration.
+		Demo Backend
 		// Bench runs measurements.
 		Bench Backend
 	}
 
-	// Backend is a command that has flags of its own.
+	// Backend implements a command that defines its own flags.
 	Backend struct {
 		// Flags defines the flags; nil defines none.
 		Flags func(f *flag.FlagSet)
@@ -47,21 +48,21 @@
 		// flags defines the flags; nil defines none.
 		flags func(f *flag.FlagSet)
 		run   func(ctx context.Context, args []string) error
-		// stderr takes the error of run.
+		// stderr is where the error of run is written.
 		stderr io.Writer
 	}
 
-	// usageError reports a command line that is wrong.
+	// usageError reports an invalid command line.
 	usageError struct {
 		text string
 	}
 )
 
 // Main runs the command line args, without the program's name, and returns the
-// exit status: 0, 1 for a fault or 2 for a wrong command line. An interrupt or a
-// termination signal ends the command's context. A second interrupt ends the process;
-// a second termination signal changes nothing, because whoever supervises the process
-// may send it again while requests end.
+// exit status: 0, 1 for an error or 2 for an invalid command line. SIGINT or SIGTERM
+// ends the command's context. A second SIGINT ends the process; a second SIGTERM is
+// ignored, because the supervisor of the process may send it again while requests in
+// flight finish.
 func Main(args []string, stdout, stderr io.Writer, b Backends) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -92,7 +93,7 @@
 	return int(commander.Execute(ctx))
 }
 
-// groups returns the commands that can run, by group.
+// groups returns the available commands by group.
 func groups(stdout io.Writer, b Backends) map[string][]*command {
 	all := map[string][]*command{
 		"operators": {
@@ -145,8 +146,8 @@
 	return c.usage + "\nFlags:\n"
 }
 
-// SetFlags defines the command's flags. A flag set that still writes to the
-// process's standard error writes to that of the command instead.
+// SetFlags defines the command's flags. If the flag set writes to the standard error
+// of the process, it makes it write to c.stderr instead.
 func (c *command) SetFlags(f *flag.FlagSet) {
 	if f.Output() == io.Writer(os.Stderr) {
 		f.SetOutput(c.stderr)
@@ -156,7 +157,7 @@
 	}
 }
 
-// Execute runs the command and reports its error.
+// Execute runs the command, prints its error and returns the exit status.
 func (c *command) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	err := c.run(ctx, f.Args())
 	var usage usageError
--- a/io/cmds/keys.go
+++ b/io/cmds/keys.go
@@ -12,7 +12,7 @@
 	"hickoryrail/io/keys"
 )
 
-// keysCommand creates the credentials of a fleet.
+// keysCommand returns the command that creates the credentials of a fleet.
 func keysCommand(stdout io.Writer) *command {
 	var directory, nodes string
 	var add bool
@@ -21,11 +21,11 @@
 		usage: `hickoryrail keys -nodes NAME,... [-directory DIRECTORY] [-add]
 
 Creates a directory with the fleet's authority, a certificate for each node and
-the operators' token. With -add it uses the authority that is there and creates
-certificates for further nodes only. Existing files are never replaced.
+the operators' token. With -add it uses the existing authority and only creates
+certificates for further nodes. Existing files are never replaced.
 
 Give each node authority.crt, operator.sha256 and its own node-NAME.crt and .key.
-authority.key belongs on no node.
+Do not copy authority.key to any node.
 
 Examples:
   hickoryrail keys -nodes a1,a2,a3
@@ -57,7 +57,8 @@
 	}
 }
 
-// nodeIDs splits and checks a list of nodes before any file is written.
+// nodeIDs parses and checks a list of nodes, so that a wrong name is found before any
+// file is written.
 func nodeIDs(text string) ([]ident.NodeID, error) {
 	var list []ident.NodeID
 	var faults []error
--- a/io/cmds/node.go
+++ b/io/cmds/node.go
@@ -34,7 +34,7 @@
 `
 )
 
-// nodeCommand runs a node.
+// nodeCommand returns the command that runs a node.
 func nodeCommand(stdout io.Writer, node func(context.Context, conf.Settings, io.Writer) error) *command {
 	var path string
 	return &command{
@@ -42,8 +42,8 @@
 		usage: `hickoryrail node -config FILE
 
 Runs a node until SIGINT or SIGTERM, then stops it gracefully: requests in
-flight end first. A second SIGINT ends it at once; a second SIGTERM changes
-nothing. The log goes to standard output as JSON lines.
+flight end first. A second SIGINT ends it at once; a second SIGTERM is
+ignored. The log goes to standard output as JSON lines.
 
 Example:
   hickoryrail node -config a1.toml
@@ -60,14 +60,14 @@
 			if err != nil {
 				return err
 			}
-			stop := reloads(ctx, path, s, logs.New(stdout, s.Log.Level))
+			stop := reloadOnHangup(ctx, path, s, logs.New(stdout, s.Log.Level))
 			defer stop()
 			return node(ctx, s, stdout)
 		},
 	}
 }
 
-// platformCommand runs the stand-in for the platform.
+// platformCommand returns the command that runs a stand-in for the platform.
 func platformCommand(stdout io.Writer) *command {
 	var listen string
 	return &command{
@@ -76,13 +76,13 @@
 
 Runs a stand-in for the platform's transactional table service and object store,
 for trials without a platform. It keeps everything in memory: when it stops, all
-releases are gone. docs/platform.md has its protocol and its faults.
+releases are lost. docs/platform.md describes its protocol and its faults.
 
 Example:
   hickoryrail platform -listen 127.0.0.1:7300
 `,
 		flags: func(f *flag.FlagSet) {
-			f.StringVar(&listen, "listen", "127.0.0.1:7300", "TCP `address`; port 0 takes a free one")
+			f.StringVar(&listen, "listen", "127.0.0.1:7300", "TCP `address`; port 0 selects a free port")
 		},
 		run: func(ctx context.Context, args []string) error {
 			if err := noArguments(args); err != nil {
@@ -98,7 +98,7 @@
 	}
 }
 
-// settingsCommand prints the table of settings.
+// settingsCommand returns the command that prints the table of settings.
 func settingsCommand(stdout io.Writer) *command {
 	return &command{
 		name: "settings", synopsis: "print the settings of a node with defaults and allowed values",
--- a/io/cmds/operator.go
+++ b/io/cmds/operator.go
@@ -19,22 +19,22 @@
 // defaultNode is the operator address of a node with default settings.
 const defaultNode = "https://127.0.0.1:8443"
 
-// connection holds the flags that name a node and the operator's credential.
-type connection struct {
+// nodeFlags holds the flags that name a node and the operator's credential.
+type nodeFlags struct {
 	node       string
 	credential string
 	authority  string
 }
 
 // flags defines the flags.
-func (c *connection) flags(f *flag.FlagSet) {
+func (c *nodeFlags) flags(f *flag.FlagSet) {
 	f.StringVar(&c.node, "node", defaultNode, "operator `address` of any node")
 	f.StringVar(&c.credential, "credential", "keys/operator.token", "`file` with the operators' token")
-	f.StringVar(&c.authority, "authority", "keys/authority.crt", "`file` with the fleet's authority")
+	f.StringVar(&c.authority, "authority", "keys/authority.crt", "`file` with the certificate of the fleet's authority")
 }
 
-// open returns a client for the node.
-func (c *connection) open() (*admin.Client, error) {
+// newClient returns a client for the node.
+func (c *nodeFlags) newClient() (*admin.Client, error) {
 	if !strings.HasPrefix(c.node, "https://") {
 		return nil, usageError{fmt.Sprintf("-node %q is refused; allowed: https://host:port", c.node)}
 	}
@@ -53,9 +53,9 @@
 	return &admin.Client{URL: strings.TrimRight(c.node, "/"), Token: string(bytes.TrimSpace(token)), Authority: pool}, nil
 }
 
-// historyCommand lists releases.
+// historyCommand returns the command that lists releases.
 func historyCommand(stdout io.Writer) *command {
-	var c connection
+	var c nodeFlags
 	var limit int
 	var asJSON bool
 	return &command{
@@ -76,7 +76,7 @@
 			if err := noArguments(args); err != nil {
 				return err
 			}
-			client, err := c.open()
+			client, err := c.newClient()
 			if err != nil {
 				return err
 			}
@@ -90,16 +90,16 @@
 			w := tabwriter.NewWriter(stdout, 0, 0, 2, ' ', 0)
 			fmt.Fprintln(w, "VERSION\tACCEPTED\tOPERATOR\tEDIT\tDIGEST")
 			for _, e := range entries {
-				fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", e.Version, instant(e.AcceptedMillis), e.Operator, e.EditID, e.Digest.Short())
+				fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", e.Version, formatTime(e.AcceptedMillis), e.Operator, e.EditID, e.Digest.Short())
 			}
 			return w.Flush()
 		},
 	}
 }
 
-// statusCommand shows the state of a node.
+// statusCommand returns the command that shows the state of a node.
 func statusCommand(stdout io.Writer) *command {
-	var c connection
+	var c nodeFlags
 	var asJSON bool
 	return &command{
 		name: "status", synopsis: "show a node's state and its view of the fleet",
@@ -119,7 +119,7 @@
 			if err := noArguments(args); err != nil {
 				return err
 			}
-			client, err := c.open()
+			client, err := c.newClient()
 			if err != nil {
 				return err
 			}
@@ -164,8 +164,8 @@
 	return json.NewEncoder(w).Encode(v)
 }
 
-// instant formats an instant for people; 0 is unknown.
-func instant(m clock.Millis) string {
+// formatTime returns a time as text for users; 0 is shown as unknown.
+func formatTime(m clock.Millis) string {
 	if m == 0 {
 		return "unknown"
 	}
--- a/io/cmds/reload.go
+++ b/io/cmds/reload.go
@@ -13,10 +13,10 @@
 	"hickoryrail/io/conf"
 )
 
-// reloads reads the settings file again on each SIGHUP and logs what it found. A
-// node binds its addresses and names once, so changes take effect at its next
-// start. The returned function ends it.
-func reloads(ctx context.Context, path string, s conf.Settings, logger *log.Logger) func() {
+// reloadOnHangup starts a goroutine that reads the settings file again on each SIGHUP and
+// logs the result. A node binds its addresses and sets its names only once, so changes
+// take effect at its next start. The returned function stops the goroutine.
+func reloadOnHangup(ctx context.Context, path string, s conf.Settings, logger *log.Logger) func() {
 	ctx, cancel := context.WithCancel(ctx)
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -38,12 +38,12 @@
 	}
 }
 
-// reload reads the file once and returns the settings that were read last.
+// reload reads the file and returns its settings, or s if the file is refused.
 func reload(path string, s conf.Settings, logger *log.Logger) conf.Settings {
 	next, err := conf.Load(path)
 	switch {
 	case err != nil:
-		logger.WithError(err).Error("settings file refused; the node goes on with its settings")
+		logger.WithError(err).Error("settings file refused; the node keeps its settings")
 		return s
 	case reflect.DeepEqual(next, s):
 		logger.Info("settings file read again; nothing changed")
--- a/io/cmds/reload_test.go
+++ b/io/cmds/reload_test.go
@@ -18,20 +18,20 @@
 	"hickoryrail/io/logs"
 )
 
-// lines is a writer that tests read while it is in use.
-type lines struct {
+// logBuffer is a buffer that can be read while a logger writes to it.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-// has waits until the text holds a part.
-func (l *lines) has(part string) bool {
+// waitFor waits up to 5 s for part to occur in the text and reports whether it did.
+func (l *logBuffer) waitFor(part string) bool {
 	for range 500 {
 		l.mu.Lock()
 		found := strings.Contains(l.text.String(), part)
@@ -44,8 +44,8 @@
 	return false
 }
 
-// TestHangup guards against a node that ends at a SIGHUP, or that stops over a file
-// that it cannot use.
+// TestHangup guards against a node that ends at a SIGHUP, or that stops because of an
+// invalid settings file.
 func TestHangup(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "node.toml")
@@ -54,12 +54,12 @@
 	write(base)
 	s, err := conf.Load(path)
 	is.NoErr(err)
-	out := &lines{}
-	stop := reloads(context.Background(), path, s, logs.New(out, log.InfoLevel))
+	out := &logBuffer{}
+	stop := reloadOnHangup(context.Background(), path, s, logs.New(out, log.InfoLevel))
 	defer stop()
 	hangup := func(want string) {
 		is.NoErr(syscall.Kill(os.Getpid(), syscall.SIGHUP))
-		is.True(out.has(want))
+		is.True(out.waitFor(want))
 	}
 	hangup("nothing changed")
 	write(base + "[Limits]\nQueueLength = 7\n")
--- a/io/cmds/signal_test.go
+++ b/io/cmds/signal_test.go
@@ -15,8 +15,8 @@
 	"hickoryrail/io/conf"
 )
 
-// TestRepeatedTermination guards against a node that ends at once, and loses the
-// requests in flight, because SIGTERM is sent again while it stops.
+// TestRepeatedTermination guards against a node that ends at once, and so loses the
+// requests in flight, if SIGTERM is sent again while it stops.
 func TestRepeatedTermination(t *testing.T) {
 	is := is.New(t)
 	self, err := os.FindProcess(os.Getpid())
--- a/io/cmds/target.go
+++ b/io/cmds/target.go
@@ -21,19 +21,21 @@
 		Service ident.ServiceName
 		// Listen is the TCP address for requests.
 		Listen string
-		// Node is the TargetAddress of the node beside the target.
+		// Node is the TargetAddress setting of the node beside the target.
 		Node string
-		// DelayMillis is how long each request takes.
+		// DelayMillis is the time that the target takes to handle a request.
 		DelayMillis clock.Millis
 	}
 
-	// TargetServer is a stand-in target that announces itself at its node.
-	TargetServer interface {
+	// StandInTarget is a server that replaces a real target in trials and announces
+	// itself at its node.
+	StandInTarget interface {
 		Open() error
 		Address() string
 		// Run serves until ctx ends.
 		Run(ctx context.Context) error
-		// Drain tells the node, finishes the requests in flight and leaves.
+		// Drain sends a drain request to the node, waits for the requests in flight and
+		// sends a leave request.
 		Drain(ctx context.Context) error
 	}
 )
@@ -41,8 +43,8 @@
 // drainMillis bounds the drain of a stand-in target.
 const drainMillis = 10 * clock.Second
 
-// targetCommand runs a stand-in target.
-func targetCommand(stdout io.Writer, create func(TargetOptions) TargetServer) *command {
+// targetCommand returns the command that runs a stand-in target.
+func targetCommand(stdout io.Writer, create func(TargetOptions) StandInTarget) *command {
 	var o TargetOptions
 	var id, service string
 	var delay time.Duration
@@ -60,8 +62,8 @@
 		flags: func(f *flag.FlagSet) {
 			f.StringVar(&id, "id", "", "`name` of the target; the Target setting of its node")
 			f.StringVar(&service, "service", "", "`name` of its service; the Service setting of its node")
-			f.StringVar(&o.Listen, "listen", "127.0.0.1:9001", "TCP `address` for requests; port 0 takes a free one")
-			f.StringVar(&o.Node, "node", "127.0.0.1:8081", "TargetAddress of its node")
+			f.StringVar(&o.Listen, "listen", "127.0.0.1:9001", "TCP `address` for requests; port 0 selects a free port")
+			f.StringVar(&o.Node, "node", "127.0.0.1:8081", "TargetAddress setting of its node")
 			f.DurationVar(&delay, "delay", 5*time.Millisecond, "time that each request takes")
 		},
 		run: func(ctx context.Context, args []string) error {
@@ -77,8 +79,8 @@
 	}
 }
 
-// runTarget serves until ctx ends and drains the target before it stops.
-func runTarget(ctx context.Context, s TargetServer, stdout io.Writer) error {
+// runTarget runs the target until ctx ends and drains it before it stops.
+func runTarget(ctx context.Context, s StandInTarget, stdout io.Writer) error {
 	if err := s.Open(); err != nil {
 		return err
 	}
--- a/io/cmds/trial_test.go
+++ b/io/cmds/target_test.go
@@ -12,35 +12,35 @@
 	"hickoryrail/io/keys"
 )
 
-func (s *served) note(event string) error { s.events = append(s.events, event); return nil }
+func (s *fakeTarget) record(event string) error { s.events = append(s.events, event); return nil }
 
-func (s *served) Open() error { return s.note("open") }
+func (s *fakeTarget) Open() error { return s.record("open") }
 
-func (s *served) Address() string { return "127.0.0.1:1" }
+func (s *fakeTarget) Address() string { return "127.0.0.1:1" }
 
-func (s *served) Run(ctx context.Context) error {
+func (s *fakeTarget) Run(ctx context.Context) error {
 	<-ctx.Done()
-	return s.note("stop")
+	return s.record("stop")
 }
 
-func (s *served) Drain(ctx context.Context) error {
+func (s *fakeTarget) Drain(ctx context.Context) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	return s.note("drain")
+	return s.record("drain")
 }
 
-// TestTarget guards against a target that stops before its drain.
+// TestTarget guards against a target that stops before it is drained.
 func TestTarget(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	s := &served{}
+	s := &fakeTarget{}
 	is.NoErr(runTarget(ctx, s, io.Discard))
 	is.Equal(s.events, []string{"open", "drain", "stop"})
 }
 
-// TestKeys guards against keys that replace existing ones or do not load.
+// TestKeys guards against keys that replace existing ones or cannot be loaded.
 func TestKeys(t *testing.T) {
 	is := is.New(t)
 	directory := filepath.Join(t.TempDir(), "keys")
--- a/io/cmds/watch.go
+++ b/io/cmds/watch.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	// pollMillis is the interval between two looks at the fleet.
+	// pollMillis is the interval at which the state of the fleet is polled.
 	pollMillis = 500 * clock.Millis(1)
-	// maxNamed bounds the laggards that are named on a line.
+	// maxNamed bounds the lagging nodes, and the dead nodes, that a line names.
 	maxNamed = 10
 )
 
 type (
-	// watcher looks at the fleet until a release is in force everywhere.
+	// watcher polls the fleet until a release is in force on every live node.
 	watcher struct {
 		version ident.Version
 		timeout clock.Millis
 		asJSON  bool
 	}
 
-	// progress is how far a release has come.
+	// progress is the progress of a release in the fleet.
 	progress struct {
 		Version ident.Version
 		// InForce counts the live nodes that hold the version or a later one.
@@ -38,34 +38,35 @@
 		// Live counts the nodes that are not dead and have not left.
 		Live int
 		// Laggards are the live nodes that hold an earlier version.
-		Laggards []laggard
-		// Unreachable are the dead nodes; they get the release when they return.
+		Laggards []laggingNode
+		// Unreachable are the dead nodes; they receive the release when they return.
 		Unreachable []ident.NodeID
 	}
 
-	// laggard is a node that does not hold the release yet.
-	laggard struct {
+	// laggingNode is a node that does not hold the release yet.
+	laggingNode struct {
 		Node  ident.NodeID
 		Held  ident.Version
 		State string
 	}
 
-	// fleetSource tells the versions that nodes hold.
+	// fleetSource provides the version that each node holds.
 	fleetSource interface {
 		Fleet(ctx context.Context) ([]admin.NodeStatus, error)
 	}
 )
 
 var (
-	// errNotEverywhere reports a release that is not in force everywhere in time.
+	// errNotEverywhere reports a release that is not in force on every live node when
+	// the timeout expires.
 	errNotEverywhere = errors.New("the release is not in force everywhere")
 	// errNoRelease reports that there is nothing to watch.
 	errNoRelease = errors.New("there is no release yet")
 )
 
-// watchCommand shows the progress of a release.
+// watchCommand returns the command that shows the progress of a release.
 func watchCommand(stdout io.Writer) *command {
-	var c connection
+	var c nodeFlags
 	w := watcher{}
 	var version uint64
 	var timeout time.Duration
@@ -74,8 +75,8 @@
 		usage: `hickoryrail watch [-version N] [-timeout DURATION] [-json] [-node URL]
 
 Prints a line whenever the progress changes, with the nodes that lag behind, and
-ends when every live node holds the release. Dead nodes are named and not waited
-for. The exit status is 1 if the time runs out.
+ends when every live node holds the release. Dead nodes are named but not waited
+for. The exit status is 1 if the timeout expires.
 
 Examples:
   hickoryrail watch
@@ -91,7 +92,7 @@
 			if err := noArguments(args); err != nil {
 				return err
 			}
-			client, err := c.open()
+			client, err := c.newClient()
 			if err != nil {
 				return err
 			}
@@ -111,7 +112,7 @@
 	}
 }
 
-// run prints the progress until the release is in force everywhere.
+// run prints the progress until the release is in force on every live node.
 func (w *watcher) run(ctx context.Context, source fleetSource, stdout io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, w.timeout.Duration())
 	defer cancel()
@@ -124,7 +125,7 @@
 		case errors.Is(err, admin.ErrUnauthorized):
 			return err
 		case err != nil && ctx.Err() == nil:
-			// A node that restarts or is cut off for a moment does not end the watch.
+			// A restart or a short disconnection of the node does not end the watch.
 			last = w.print(stdout, last, "the node cannot be asked: "+err.Error(), struct{ Error string }{err.Error()})
 		case err == nil:
 			p := progressOf(w.version, nodes)
@@ -141,7 +142,8 @@
 	}
 }
 
-// print prints a line unless it repeats the last one, and returns it.
+// print prints a line, or v as JSON, unless the line equals the last one. It returns
+// the line.
 func (w *watcher) print(stdout io.Writer, last, line string, v any) string {
 	if line == last {
 		return last
@@ -155,7 +157,7 @@
 	return line
 }
 
-// progressOf counts the nodes that hold version or a later one.
+// progressOf returns the progress of a version among the nodes.
 func progressOf(version ident.Version, nodes []admin.NodeStatus) progress {
 	p := progress{Version: version}
 	for _, n := range nodes {
@@ -168,14 +170,14 @@
 			p.InForce++
 		default:
 			p.Live++
-			p.Laggards = append(p.Laggards, laggard{Node: n.Node, Held: n.Held, State: n.State})
+			p.Laggards = append(p.Laggards, laggingNode{Node: n.Node, Held: n.Held, State: n.State})
 		}
 	}
 	return p
 }
 
-// done reports whether every live node holds the release. A fleet without live
-// nodes is never done.
+// done reports whether every live node holds the release. It is false for a fleet
+// without live nodes.
 func (p progress) done() bool {
 	return p.Live > 0 && p.InForce == p.Live
 }
--- a/io/node/hosted.go
+++ b/io/node/hosted.go
@@ -137,7 +137,7 @@
 	if err := n.metrics.register(n.registry, n.fleet); err != nil {
 		return nil, eris.Wrap(err, "node: metrics")
 	}
-	n.admin = &admin.Admin{Listen: s.AdminAddress, Metrics: n.registry, Source: n.status}
+	n.admin = &admin.StatusServer{Listen: s.AdminAddress, Metrics: n.registry, Source: n.status}
 	w := &watcher{
 		clock: n.clock, source: h.Source, directory: h.Directory, fleet: n.fleet, log: n.decisions, metrics: n.metrics,
 		startMillis: s.Spread.StartSourceMillis, random: fork(random), self: n.seed, wanted: make(chan struct{}, 1),
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -83,9 +83,9 @@
 	ingress   *proxy.Ingress
 	targets   *targets
 	status    *status
-	admin     *admin.Admin
-	announce  *admin.Targets
-	operators *admin.Operators
+	admin     *admin.StatusServer
+	announce  *admin.TargetServer
+	operators *admin.OperatorServer
 }
 
 // transport carries calls and control messages between nodes.
@@ -237,9 +237,9 @@
 // wireServers creates the HTTP servers besides the ingress.
 func (n *Node) wireServers(identity keys.Identity, credential ident.Digest) {
 	s := n.settings
-	n.admin = &admin.Admin{Listen: s.AdminAddress, Metrics: n.registry, Source: n.status}
-	n.announce = &admin.Targets{Listen: s.TargetAddress, Target: s.Target, Service: s.Service, Control: n.targets}
-	n.operators = &admin.Operators{
+	n.admin = &admin.StatusServer{Listen: s.AdminAddress, Metrics: n.registry, Source: n.status}
+	n.announce = &admin.TargetServer{Listen: s.TargetAddress, Target: s.Target, Service: s.Service, Control: n.targets}
+	n.operators = &admin.OperatorServer{
 		Listen: s.OperatorAddress, Certificate: identity.Certificate, Credential: credential, Source: n.status,
 		Registry: n.registry,
 		Control:  &edits{clock: n.clock, store: n.reader.store, submitter: n.reader.submitter, accepted: n.reader.accepted},
