--- a/cmd/hickoryrail/main.go
+++ b/cmd/hickoryrail/main.go
@@ -1,4 +1,4 @@
-// Command hickoryrail runs a node of the mesh and the tools around it.
+// Command hickoryrail runs a node of the service mesh and the tools to operate it.
 package main
 
 import (
@@ -25,7 +25,7 @@
 	}))
 }
 
-// runNode runs a node on the platform that its settings name.
+// runNode runs a node with the platform protocol that its settings select.
 func runNode(ctx context.Context, s conf.Settings, output io.Writer) error {
 	if s.Platform == conf.PlatformRows {
 		return platform.Run(ctx, s, output)
@@ -34,18 +34,18 @@
 }
 
 // newTarget creates a stand-in target.
-func newTarget(o cmds.TargetOptions) cmds.TargetServer {
+func newTarget(o cmds.TargetOptions) cmds.StandInTarget {
 	return &target.Server{ID: o.ID, Service: o.Service, Listen: o.Listen, Node: o.Node, DelayMillis: o.DelayMillis}
 }
 
-// benchBackend runs measurements.
+// benchBackend returns the backend that runs measurements.
 func benchBackend() cmds.Backend {
 	var r bench.Runner
 	return cmds.Backend{Flags: r.SetFlags, Run: r.Run}
 }
 
-// demoBackend runs the demonstration; the nodes' log lines go to a file if one
-// is named.
+// demoBackend returns the backend that runs the demonstration. The log lines of the
+// nodes go to the file of -log, if it is set.
 func demoBackend() cmds.Backend {
 	var path string
 	return cmds.Backend{
--- a/io/files/element.go
+++ b/io/files/element.go
@@ -16,9 +16,10 @@
 	// value is one value of a table.
 	value struct {
 		kind unstable.Kind
-		// data is the text of a string, and the raw bytes of other scalars.
+		// data is the decoded text of a string, and the raw text of other scalars.
 		data string
-		// shown is the value as it stands in the file, on one line.
+		// shown is the value as faults show it: as it is written in the file, on
+		// one line.
 		shown string
 		line  int
 	}
@@ -28,23 +29,23 @@
 		file  string
 		table string
 		line  int
-		// values has the first value of each key.
+		// values holds the first value of each key.
 		values map[string]value
-		// known are the keys that were asked for, in that order.
-		known []string
-		// read are the values that were read, as model's faults show them; 0 or
-		// empty stands for a value that is missing or faulty.
-		read map[string]string
-		// faulty are the keys that have a fault already.
+		// requested holds the keys that get was called for, in that order.
+		requested []string
+		// decoded holds the decoded values as model.Fault shows them; 0 or empty
+		// stands for a value that is missing or faulty.
+		decoded map[string]string
+		// faulty holds the keys for which a fault is recorded.
 		faulty map[string]bool
-		// cut says that the file could not be read to its end, so that missing
-		// keys are no faults.
-		cut    bool
-		faults Faults
+		// incomplete is true if the file could not be read to its end, so that missing
+		// keys are not faults.
+		incomplete bool
+		faults     Faults
 	}
 )
 
-// key returns the name of a key for faults.
+// key returns the name of a key with its table, for faults.
 func (e *element) key(name string) string {
 	return e.table + "." + name
 }
@@ -59,12 +60,13 @@
 	e.faults = append(e.faults, Fault{File: e.file, Line: line, Key: e.key(name), Value: shown, Allowed: allowed})
 }
 
-// get returns a value of one of the allowed kinds.
+// get returns the value of a key. It records a fault for a value that is not of one of
+// the kinds, or that is required and missing.
 func (e *element) get(name, allowed string, required bool, kinds ...unstable.Kind) (value, bool) {
-	e.known = append(e.known, name)
+	e.requested = append(e.requested, name)
 	v, ok := e.values[name]
 	if !ok {
-		if required && !e.cut {
+		if required && !e.incomplete {
 			e.fault(name, allowed)
 		}
 		return value{}, false
@@ -81,7 +83,7 @@
 // text returns a string.
 func (e *element) text(name string) string {
 	v, _ := e.get(name, "a string", true, unstable.String)
-	e.read[name] = v.data
+	e.decoded[name] = v.data
 	return v.data
 }
 
@@ -95,7 +97,7 @@
 			out.V = 0
 		}
 	}
-	e.read[name] = strconv.Itoa(out.V)
+	e.decoded[name] = strconv.Itoa(out.V)
 	return out.V
 }
 
@@ -110,14 +112,14 @@
 			out.V = 0
 		}
 	}
-	e.read[name] = clock.Millis(out.V).String()
+	e.decoded[name] = clock.Millis(out.V).String()
 	return clock.Millis(out.V)
 }
 
-// flag returns a bool that may be left out.
-func (e *element) flag(name string) bool {
+// boolean returns an optional bool.
+func (e *element) boolean(name string) bool {
 	v, _ := e.get(name, "true or false", false, unstable.Bool)
-	e.read[name] = v.data
+	e.decoded[name] = v.data
 	return v.data == "true"
 }
 
@@ -129,15 +131,15 @@
 	if ok && !known {
 		e.fault(name, allowed)
 	}
-	e.read[name] = class.String()
+	e.decoded[name] = class.String()
 	return class
 }
 
-// end records the keys that were not asked for. It returns all faults.
-func (e *element) end() Faults {
-	allowed := "the keys " + strings.Join(e.known, ", ")
+// finish records a fault for each key that was not decoded. It returns all faults.
+func (e *element) finish() Faults {
+	allowed := "the keys " + strings.Join(e.requested, ", ")
 	for name := range e.values {
-		if _, known := e.read[name]; !known {
+		if _, known := e.decoded[name]; !known {
 			e.fault(name, allowed)
 		}
 	}
--- a/io/files/fault.go
+++ b/io/files/fault.go
@@ -10,20 +10,20 @@
 )
 
 type (
-	// Fault is one thing wrong with a file.
+	// Fault is one error in a file.
 	Fault struct {
 		// File is the file's name.
 		File string
-		// Line counts from 1. A missing key has the line of its table; 0 stands
-		// for the whole file.
+		// Line is the line number, from 1. A missing key has the line of its table; 0
+		// stands for the whole file.
 		Line int
 		// Key is the table and the key, such as Services.Slots; empty if the
 		// file is not TOML.
 		Key string
-		// Value is the refused value as it stands in the file; empty if there is
-		// none.
+		// Value is the refused value as it is written in the file; empty if there
+		// is none.
 		Value string
-		// Allowed says what would be accepted.
+		// Allowed describes the accepted values.
 		Allowed string
 	}
 
@@ -31,7 +31,7 @@
 	Faults []Fault
 )
 
-// String returns the fault on one line, after file and line.
+// String returns the fault as one line that starts with the file and the line number.
 func (f Fault) String() string {
 	position := f.File
 	if f.Line > 0 {
@@ -55,7 +55,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// sort puts the faults in order; files are in the order of their names in order.
+// sort sorts the faults by file, in the order of the names in order, and by line.
 func (f Faults) sort(order ...string) {
 	slices.SortStableFunc(f, func(a, b Fault) int {
 		return cmp.Or(
--- a/io/files/files.go
+++ b/io/files/files.go
@@ -18,21 +18,22 @@
 	domainTable  = "FailureDomains"
 	serviceTable = "Services"
 	routeTable   = "Routes"
-	// maxFileBytes bounds a file; the expected inventory has a few kilobytes.
+	// maxFileBytes bounds the size of a file; the expected inventory has a few kilobytes.
 	maxFileBytes = 4 << 20
 )
 
-// errInexpressible reports a configuration that files cannot hold.
-var errInexpressible = errors.New("configuration has fields that files do not hold")
+// errNotRepresentable reports a configuration that Format cannot write.
+var errNotRepresentable = errors.New("configuration has fields that the file format does not support")
 
 // Source is the content of a file.
 type Source struct {
-	// Name stands in faults.
+	// Name is the file name in faults.
 	Name string
 	Body []byte
 }
 
-// Load reads the inventory and the rules from files. A faulty content is Faults.
+// Load reads the inventory and the rules from files. The error is Faults for invalid
+// content.
 func Load(inventory, rules string) (model.Configuration, error) {
 	i, err := read(inventory)
 	if err != nil {
@@ -51,7 +52,7 @@
 	if err != nil {
 		return Source{}, err
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // an error of Close loses no data of a file that is only read
 	body, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
 	if err == nil && len(body) > maxFileBytes {
 		err = fmt.Errorf("%s exceeds 4 MiB", name)
@@ -60,19 +61,19 @@
 }
 
 // Parse returns the valid configuration of an inventory and its rules, or Faults
-// with everything that is wrong in both. A file that is not TOML is not checked
-// beyond that fault, and the other file's references into it are not checked.
+// with the errors in both files. A file that is not TOML is not checked beyond its first
+// syntax error, and references from the other file into it are not checked.
 func Parse(inventory, rules Source) (model.Configuration, error) {
-	i := parse(inventory, domainTable, serviceTable)
-	r := parse(rules, routeTable)
+	inventoryDoc := parse(inventory, domainTable, serviceTable)
+	rulesDoc := parse(rules, routeTable)
 	var c model.Configuration
-	elements := append(append([]*element{}, i.elements...), r.elements...)
-	faults := append(append(Faults{}, i.faults...), r.faults...)
+	elements := append(append([]*element{}, inventoryDoc.elements...), rulesDoc.elements...)
+	faults := append(append(Faults{}, inventoryDoc.faults...), rulesDoc.faults...)
 	for _, e := range elements {
 		decode(&c, e)
-		faults = append(faults, e.end()...)
+		faults = append(faults, e.finish()...)
 	}
-	if !i.cut && !r.cut {
+	if !inventoryDoc.incomplete && !rulesDoc.incomplete {
 		faults = append(faults, validate(c, elements)...)
 	}
 	if len(faults) > 0 {
@@ -82,7 +83,7 @@
 	return c, nil
 }
 
-// decode adds one table to the configuration.
+// decode decodes one table and adds it to the configuration.
 func decode(c *model.Configuration, e *element) {
 	switch e.table {
 	case domainTable:
@@ -98,14 +99,14 @@
 		c.Rules.Routes = append(c.Rules.Routes, model.Route{
 			Name: ident.RouteName(e.text("Name")), PathPrefix: e.text("PathPrefix"),
 			Service: ident.ServiceName(e.text("Service")), Class: e.class("Class"),
-			Idempotent: e.flag("Idempotent"), TimeoutMillis: e.millis("TimeoutMillis", true),
+			Idempotent: e.boolean("Idempotent"), TimeoutMillis: e.millis("TimeoutMillis", true),
 			MaxAttempts: e.integer("MaxAttempts"), HedgeAfterMillis: e.millis("HedgeAfterMillis", false),
 		})
 	}
 }
 
-// validate returns the faults of the configuration with their lines. A key that
-// has a fault already gets no second one.
+// validate returns the faults of the configuration with their lines. It omits faults of
+// keys for which a fault is already recorded.
 func validate(c model.Configuration, elements []*element) Faults {
 	found, ok := c.Validate().(model.Faults)
 	if !ok {
@@ -124,23 +125,23 @@
 	return faults
 }
 
-// locate returns the table that a fault of model is about, or nil if the key has
-// a fault there already. Of several tables with one name it is the last with that
-// value, which is the repeated one.
+// locate returns the table that a model.Fault refers to, or nil if a fault is already
+// recorded for the key there. Of several tables with the same name it returns the last
+// one with that value, which is the repetition.
 func locate(elements []*element, table, name, key, value string) *element {
 	for i := len(elements) - 1; i >= 0; i-- {
 		e := elements[i]
-		if e.table == table && e.read["Name"] == name && e.read[key] == value && !e.faulty[key] {
+		if e.table == table && e.decoded["Name"] == name && e.decoded[key] == value && !e.faulty[key] {
 			return e
 		}
 	}
 	return nil
 }
 
-// expressible reports whether files can hold a configuration. Hosts, splits, goals,
-// bounds for callers and slots that targets announce come from platforms with a form
-// of their own.
-func expressible(c model.Configuration) bool {
+// representable reports whether Format can write a configuration. Hosts, health paths,
+// traffic splits, goals, limits for callers and slots that targets announce exist only in
+// configurations of platforms that have their own format.
+func representable(c model.Configuration) bool {
 	if c.Rules.Callers != (model.CallerLimits{}) {
 		return false
 	}
@@ -157,8 +158,8 @@
 	return true
 }
 
-// Format returns the files of a configuration; Parse of both returns an equal
-// configuration.
+// Format returns the files of a configuration; Parse returns an equal configuration
+// from them.
 func Format(c model.Configuration) (inventory, rules []byte, err error) {
 	type route struct {
 		Name, PathPrefix, Service, Class string
@@ -171,30 +172,30 @@
 		Name               string
 		Slots, Connections int
 	}
-	if !expressible(c) {
-		return nil, nil, errInexpressible
+	if !representable(c) {
+		return nil, nil, errNotRepresentable
 	}
-	// An empty list would be written as a value, which Parse refuses.
-	var list struct {
+	// Without omitempty an empty list would be written as a value, which Parse refuses.
+	var ruleTables struct {
 		Routes []route `toml:",omitempty"`
 	}
-	lists := struct {
+	inventoryTables := struct {
 		FailureDomains []model.FailureDomain `toml:",omitempty"`
 		Services       []service             `toml:",omitempty"`
 	}{FailureDomains: c.Inventory.FailureDomains}
 	for _, s := range c.Inventory.Services {
-		lists.Services = append(lists.Services, service{Name: string(s.Name), Slots: int(s.Slots), Connections: int(s.Connections)})
+		inventoryTables.Services = append(inventoryTables.Services, service{Name: string(s.Name), Slots: int(s.Slots), Connections: int(s.Connections)})
 	}
 	for _, r := range c.Rules.Routes {
-		list.Routes = append(list.Routes, route{
+		ruleTables.Routes = append(ruleTables.Routes, route{
 			Name: string(r.Name), PathPrefix: r.PathPrefix, Service: string(r.Service), Class: r.Class.String(),
 			Idempotent: r.Idempotent, TimeoutMillis: float64(r.TimeoutMillis),
 			MaxAttempts: r.MaxAttempts, HedgeAfterMillis: float64(r.HedgeAfterMillis),
 		})
 	}
-	if inventory, err = toml.Marshal(lists); err != nil {
+	if inventory, err = toml.Marshal(inventoryTables); err != nil {
 		return nil, nil, err
 	}
-	rules, err = toml.Marshal(list)
+	rules, err = toml.Marshal(ruleTables)
 	return inventory, rules, err
 }
--- a/io/files/files_test.go
+++ b/io/files/files_test.go
@@ -54,7 +54,7 @@
 	return Parse(Source{Name: "i.toml", Body: []byte(i)}, Source{Name: "r.toml", Body: []byte(r)})
 }
 
-// TestParse guards against a valid file that is refused or read wrongly.
+// TestParse guards against a valid file that is refused or decoded incorrectly.
 func TestParse(t *testing.T) {
 	is := is.New(t)
 	c, err := parseText(inventory, rules)
@@ -73,8 +73,8 @@
 	is.NoErr(err)
 }
 
-// TestFaults guards against a fault that is passed over, hidden by another one,
-// or reported without its line, key, value or what is allowed.
+// TestFaults guards against a fault that is not detected, hidden by another one,
+// or reported without its line, key, value or allowed values.
 func TestFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		inventory, rules string
@@ -170,7 +170,7 @@
 	}
 }
 
-// TestLoad guards against a file that is read without a bound.
+// TestLoad guards against a file that is read without a bound on its size.
 func TestLoad(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
@@ -220,7 +220,7 @@
 	})
 }
 
-// FuzzParse guards against a panic on any input, a fault without a place, and a
+// FuzzParse guards against a panic on any input, a fault without file and line, and a
 // configuration that is accepted although it is invalid.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(inventory), []byte(rules))
@@ -240,7 +240,7 @@
 		}
 		for _, fault := range faults {
 			if fault.File == "" || fault.Allowed == "" || fault.Line < 1 {
-				t.Errorf("fault %+v has no place", fault)
+				t.Errorf("fault %+v has no file, line or allowed values", fault)
 			}
 		}
 	})
