--- a/io/admin/status.go
+++ b/io/admin/status.go
@@ -71,18 +71,18 @@
 )
 
 // Open binds the address.
-func (a *StatusServer) Open() error {
+func (s *StatusServer) Open() error {
 	app := newApp(maxHeaderBytes)
-	app.Get("/metrics", adaptor.HTTPHandler(stats.Handler(a.Metrics)))
+	app.Get("/metrics", adaptor.HTTPHandler(stats.Handler(s.Metrics)))
 	app.Get("/healthz", func(c *fiber.Ctx) error { return c.SendString("ok\n") })
-	app.Get("/readyz", a.ready)
-	app.Get("/status", func(c *fiber.Ctx) error { return c.JSON(a.Source.Status()) })
-	return a.bind(a.Listen, app, nil)
+	app.Get("/readyz", s.ready)
+	app.Get("/status", func(c *fiber.Ctx) error { return c.JSON(s.Source.Status()) })
+	return s.bind(s.Listen, app, nil)
 }
 
 // ready handles the readiness check: it responds with 200, or 503 and the reasons.
-func (a *StatusServer) ready(c *fiber.Ctx) error {
-	status, reasons := fiber.StatusOK, a.Source.Status().Reasons
+func (s *StatusServer) ready(c *fiber.Ctx) error {
+	status, reasons := fiber.StatusOK, s.Source.Status().Reasons
 	if len(reasons) > 0 {
 		status = fiber.StatusServiceUnavailable
 	}
