--- a/io/node/hosted.go
+++ b/io/node/hosted.go
@@ -139,7 +139,7 @@
 	if err := n.metrics.register(n.registry, n.fleet); err != nil {
 		return nil, eris.Wrap(err, "node: metrics")
 	}
-	n.adminServer = &admin.Admin{Listen: s.AdminAddress, Metrics: n.registry, Source: n.status}
+	n.adminServer = &admin.StatusServer{Listen: s.AdminAddress, Metrics: n.registry, Source: n.status}
 	w := &watcher{
 		clock: n.clock, source: h.Source, directory: h.Directory, fleet: n.fleet, log: n.decisions, metrics: n.metrics,
 		startSourceMillis: s.Spread.StartSourceMillis, random: splitRandom(random), self: n.directoryEntry, readRequest: make(chan struct{}, 1),
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -85,9 +85,9 @@
 	ingress        *proxy.Ingress
 	localTarget    *localTarget
 	status         *status
-	adminServer    *admin.Admin
-	targetServer   *admin.Targets
-	operatorServer *admin.Operators
+	adminServer    *admin.StatusServer
+	targetServer   *admin.TargetServer
+	operatorServer *admin.OperatorServer
 }
 
 // transport carries calls and control messages between nodes.
@@ -240,9 +240,9 @@
 // wireServers creates the HTTP servers besides the ingress.
 func (n *Node) wireServers(identity keys.Identity, credential ident.Digest) {
 	s := n.settings
-	n.adminServer = &admin.Admin{Listen: s.AdminAddress, Metrics: n.registry, Source: n.status}
-	n.targetServer = &admin.Targets{Listen: s.TargetAddress, Target: s.Target, Service: s.Service, Control: n.localTarget}
-	n.operatorServer = &admin.Operators{
+	n.adminServer = &admin.StatusServer{Listen: s.AdminAddress, Metrics: n.registry, Source: n.status}
+	n.targetServer = &admin.TargetServer{Listen: s.TargetAddress, Target: s.Target, Service: s.Service, Control: n.localTarget}
+	n.operatorServer = &admin.OperatorServer{
 		Listen: s.OperatorAddress, Certificate: identity.Certificate, Credential: credential, Source: n.status,
 		Registry: n.registry,
 		Control:  &editControl{clock: n.clock, store: n.reader.store, submitter: n.reader.submitter, onAccepted: n.reader.headAccepted},
