--- a/io/node/hosted_test.go
+++ b/io/node/hosted_test.go
@@ -100,7 +100,7 @@
 	h.newer = make(chan struct{})
 }
 
-func (h *hosts) Enter(_ context.Context, s member.Seed) error {
+func (h *hosts) Register(_ context.Context, s member.Seed) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.seeds[s.Node] = s
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -221,10 +221,10 @@
 		delayMillis: startSpreadMillis * clock.Millis(random.Float64()),
 		wanted:      make(chan struct{}, 1), due: make(chan struct{}, 1),
 	}
-	n.reader.keeper = &plat.Keeper{
+	n.reader.keeper = &plat.LeaseKeeper{
 		Store: store, Clock: n.clock, Region: s.Region,
-		Lease:  &lease.Lease{Self: s.Node, Timing: timing, Rand: fork(random)},
-		OnHold: n.reader.held, OnLose: n.reader.lost,
+		Lease:      &lease.Lease{Self: s.Node, Timing: timing, Rand: fork(random)},
+		OnAcquired: n.reader.held, OnLost: n.reader.lost,
 	}
 	n.fleet.readRelease = func(ident.Version, ident.Digest) { n.reader.want() }
 	n.fleet.needSource = n.reader.want
--- a/io/node/reader.go
+++ b/io/node/reader.go
@@ -56,7 +56,7 @@
 	// not read together.
 	delayMillis clock.Millis
 
-	keeper *plat.Keeper
+	keeper *plat.LeaseKeeper
 	// lastPulse is the last progress of the pulse that the lease was told of.
 	lastPulse clock.Millis
 	// nextPoll is when to poll next, and backoff the delay after a failure.
@@ -87,10 +87,10 @@
 // polls if this node is the reader and a poll is due.
 func (r *reader) tick(ctx context.Context) {
 	now := r.clock.Now()
-	r.keeper.SetFleet(r.fleet.size(r.region))
+	r.keeper.SetFleetSize(r.fleet.size(r.region))
 	if progress := now - r.fleet.pulseAge(r.region); progress > r.lastPulse {
 		r.lastPulse = progress
-		r.keeper.Pulse()
+		r.keeper.Heartbeat()
 	}
 	if r.keeper.Holds() && now >= r.nextPoll {
 		r.poll(ctx)
@@ -194,7 +194,7 @@
 		return err
 	}
 	release, err := plat.ReadRelease(ctx, r.store, order.HistoryOf(head))
-	if errors.Is(err, plat.ErrBadRelease) {
+	if errors.Is(err, plat.ErrInvalidRelease) {
 		r.fleet.refused("", head.Version, err)
 	}
 	if err != nil {
--- a/io/node/watcher.go
+++ b/io/node/watcher.go
@@ -165,7 +165,7 @@
 	switch {
 	case ctx.Err() != nil:
 		return after, false
-	case errors.Is(err, plat.ErrForgotten):
+	case errors.Is(err, plat.ErrRevisionTooOld):
 		return after, false
 	case err != nil:
 		w.failed(ctx)
@@ -248,7 +248,7 @@
 func (w *watcher) enter(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, readMillis.Duration())
 	defer cancel()
-	if err := w.directory.Enter(ctx, w.self()); err != nil {
+	if err := w.directory.Register(ctx, w.self()); err != nil {
 		w.metrics.sourceErrors.Inc()
 		return false
 	}
--- a/io/plat/client.go
+++ b/io/plat/client.go
@@ -23,30 +23,30 @@
 const (
 	// DefaultTimeoutMillis bounds a call if Client.TimeoutMillis is 0.
 	DefaultTimeoutMillis clock.Millis = 2000
-	// RevisionHeader carries a row's revision in answers.
+	// RevisionHeader is the header of a response that contains the row's revision.
 	RevisionHeader = "Revision"
-	// MaxBodyBytes bounds a value, an object and an answer.
+	// MaxBodyBytes bounds a value, an object and the body of a response.
 	MaxBodyBytes = 16 << 20
-	// maxIdleConnections bounds the connections that wait for reuse.
+	// maxIdleConnections bounds the idle connections that are kept for reuse.
 	maxIdleConnections = 16
 )
 
 type (
-	// Client is a Store that calls the platform over HTTP; docs/platform.md has
-	// the protocol. It is safe for concurrent use, and its fields do not change
-	// after the first call.
+	// Client is a Store that calls the platform over HTTP; docs/platform.md
+	// describes the protocol. It is safe for concurrent use. Its exported fields
+	// must not change after the first call.
 	Client struct {
 		// URL is the platform's base URL, such as http://10.0.0.7:7400.
 		URL string
-		// TimeoutMillis bounds each call; 0 is DefaultTimeoutMillis.
+		// TimeoutMillis bounds each call; 0 means DefaultTimeoutMillis.
 		TimeoutMillis clock.Millis
 
 		once sync.Once
 		http *http.Client
 	}
 
-	// answer is the complete answer to one call.
-	answer struct {
+	// response is the complete response to one call.
+	response struct {
 		status   int
 		revision string
 		body     []byte
@@ -54,128 +54,129 @@
 )
 
 var (
-	// errAnswer reports an answer that does not follow the protocol.
-	errAnswer = errors.New("answer does not follow the protocol")
-	// errTooLarge reports a value, an object or an answer over MaxBodyBytes.
+	// errProtocol reports a response that does not follow the protocol.
+	errProtocol = errors.New("answer does not follow the protocol")
+	// errTooLarge reports a body that exceeds MaxBodyBytes.
 	errTooLarge = errors.New("body exceeds 16 MiB")
 )
 
-// ReadRow is a strong read of one row. A failed read is always NotRun, because
-// it changes nothing.
+// ReadRow makes a strongly consistent read of one row. A failed read is always
+// NotRun, because a read has no effect.
 func (c *Client) ReadRow(ctx context.Context, key string) (Row, error) {
-	a, err := c.call(ctx, http.MethodGet, "row", url.Values{"Key": {key}}, nil)
+	resp, err := c.call(ctx, http.MethodGet, "row", url.Values{"Key": {key}}, nil)
 	switch {
 	case err != nil:
 		return Row{}, notRun("platform read failed", err)
-	case a.status == http.StatusNotFound:
+	case resp.status == http.StatusNotFound:
 		return Row{Key: key}, nil
-	case a.status != http.StatusOK:
-		return Row{}, notRun("platform refused the read", a.failure())
+	case resp.status != http.StatusOK:
+		return Row{}, notRun("platform refused the read", resp.statusError())
 	}
-	revision, err := a.parseRevision()
+	revision, err := resp.parseRevision()
 	if err != nil || revision == 0 {
-		return Row{}, notRun("platform read failed", errAnswer)
+		return Row{}, notRun("platform read failed", errProtocol)
 	}
-	return Row{Key: key, Value: a.body, Revision: revision}, nil
+	return Row{Key: key, Value: resp.body, Revision: revision}, nil
 }
 
 // ListRows returns the rows whose keys start with prefix, in order of key.
 func (c *Client) ListRows(ctx context.Context, prefix string) ([]Row, error) {
-	a, err := c.call(ctx, http.MethodGet, "rows", url.Values{"Prefix": {prefix}}, nil)
+	resp, err := c.call(ctx, http.MethodGet, "rows", url.Values{"Prefix": {prefix}}, nil)
 	if err != nil {
 		return nil, notRun("platform list failed", err)
 	}
-	if a.status != http.StatusOK {
-		return nil, notRun("platform refused the list", a.failure())
+	if resp.status != http.StatusOK {
+		return nil, notRun("platform refused the list", resp.statusError())
 	}
 	var rows []Row
-	if err := json.Unmarshal(a.body, &rows); err != nil {
+	if err := json.Unmarshal(resp.body, &rows); err != nil {
 		return nil, notRun("platform list failed", err)
 	}
 	return rows, nil
 }
 
-// WriteRow writes or deletes a row on the condition of its revision. Once the
-// request may have left this machine, a failure is MayHaveRun.
+// WriteRow writes or deletes a row on condition that it has revision ifRevision.
+// A failure is MayHaveRun if the request may have left this machine, unless the
+// response shows that the write had no effect.
 func (c *Client) WriteRow(ctx context.Context, key string, value []byte, ifRevision ident.Revision) (Row, error) {
 	method := http.MethodPut
 	if value == nil {
 		method = http.MethodDelete
 	}
 	query := url.Values{"Key": {key}, "IfRevision": {strconv.FormatUint(uint64(ifRevision), 10)}}
-	a, err := c.call(ctx, method, "row", query, value)
+	resp, err := c.call(ctx, method, "row", query, value)
 	if err == nil {
-		err = a.writeError()
+		err = resp.writeError()
 	}
 	if err != nil {
 		return Row{}, err
 	}
-	revision, err := a.parseRevision()
+	revision, err := resp.parseRevision()
 	if err != nil || (revision == 0) != (value == nil) {
-		return Row{}, result.NewError(result.MayHaveRun, "platform write answer is broken", errAnswer)
+		return Row{}, result.NewError(result.MayHaveRun, "platform write answer is broken", errProtocol)
 	}
 	return Row{Key: key, Value: value, Revision: revision}, nil
 }
 
-// PutObject stores an object; a second put of the same name replaces it.
+// PutObject stores an object and replaces an existing one of the same name.
 func (c *Client) PutObject(ctx context.Context, name string, body []byte) error {
-	a, err := c.call(ctx, http.MethodPut, "object", url.Values{"Name": {name}}, body)
+	resp, err := c.call(ctx, http.MethodPut, "object", url.Values{"Name": {name}}, body)
 	if err != nil {
 		return err
 	}
-	return a.writeError()
+	return resp.writeError()
 }
 
-// GetObject returns an object or ErrNotFound.
+// GetObject returns an object, or ErrNotFound if it does not exist.
 func (c *Client) GetObject(ctx context.Context, name string) ([]byte, error) {
-	a, err := c.call(ctx, http.MethodGet, "object", url.Values{"Name": {name}}, nil)
+	resp, err := c.call(ctx, http.MethodGet, "object", url.Values{"Name": {name}}, nil)
 	switch {
 	case err != nil:
 		return nil, notRun("platform read failed", err)
-	case a.status == http.StatusNotFound:
+	case resp.status == http.StatusNotFound:
 		return nil, notRun("object does not exist", ErrNotFound)
-	case a.status != http.StatusOK:
-		return nil, notRun("platform refused the read", a.failure())
+	case resp.status != http.StatusOK:
+		return nil, notRun("platform refused the read", resp.statusError())
 	}
-	return a.body, nil
+	return resp.body, nil
 }
 
-// call sends one request and reads its whole answer. Its error is NotRun only
+// call sends one request and reads the whole response. Its error is NotRun only
 // if no connection was ever assigned to the request.
-func (c *Client) call(ctx context.Context, method, path string, query url.Values, body []byte) (answer, error) {
+func (c *Client) call(ctx context.Context, method, path string, query url.Values, body []byte) (response, error) {
 	if len(body) > MaxBodyBytes {
-		return answer{}, notRun("platform call is too large", errTooLarge)
+		return response{}, notRun("platform call is too large", errTooLarge)
 	}
-	c.once.Do(c.open)
-	var sent atomic.Bool
+	c.once.Do(c.initHTTP)
+	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn: func(httptrace.GotConnInfo) { sent.Store(true) },
+		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
-	target := strings.TrimSuffix(c.URL, "/") + "/" + path + "?" + query.Encode()
-	req, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(body))
+	requestURL := strings.TrimSuffix(c.URL, "/") + "/" + path + "?" + query.Encode()
+	req, err := http.NewRequestWithContext(ctx, method, requestURL, bytes.NewReader(body))
 	if err != nil {
-		return answer{}, notRun("platform call is malformed", err)
+		return response{}, notRun("platform call is malformed", err)
 	}
 	res, err := c.http.Do(req)
 	if err != nil {
-		if sent.Load() {
-			return answer{}, result.NewError(result.MayHaveRun, "platform did not answer", err)
+		if connected.Load() {
+			return response{}, result.NewError(result.MayHaveRun, "platform did not answer", err)
 		}
-		return answer{}, notRun("platform is unreachable", err)
+		return response{}, notRun("platform is unreachable", err)
 	}
-	defer func() { _ = res.Body.Close() }() // the body was read to its end or its error was returned
-	a := answer{status: res.StatusCode, revision: res.Header.Get(RevisionHeader)}
-	if a.body, err = io.ReadAll(io.LimitReader(res.Body, MaxBodyBytes+1)); err == nil && len(a.body) > MaxBodyBytes {
+	defer func() { _ = res.Body.Close() }() // the read of the body has reported any error
+	resp := response{status: res.StatusCode, revision: res.Header.Get(RevisionHeader)}
+	if resp.body, err = io.ReadAll(io.LimitReader(res.Body, MaxBodyBytes+1)); err == nil && len(resp.body) > MaxBodyBytes {
 		err = errTooLarge
 	}
 	if err != nil {
-		return answer{}, result.NewError(result.MayHaveRun, "platform answer is broken", err)
+		return response{}, result.NewError(result.MayHaveRun, "platform answer is broken", err)
 	}
-	return a, nil
+	return resp, nil
 }
 
-// open makes the HTTP client. It follows no redirects and uses no proxy.
-func (c *Client) open() {
+// initHTTP creates the HTTP client, which follows no redirects and uses no proxy.
+func (c *Client) initHTTP() {
 	timeout := c.TimeoutMillis
 	if timeout <= 0 {
 		timeout = DefaultTimeoutMillis
@@ -188,33 +189,33 @@
 }
 
 // writeError returns nil for a write that took effect, and otherwise an error
-// with the verdict that the status allows.
-func (a answer) writeError() error {
-	switch a.status {
+// with the verdict that follows from the status.
+func (r response) writeError() error {
+	switch r.status {
 	case http.StatusOK:
 		return nil
 	case http.StatusConflict:
 		return notRun("row has another revision", ErrConflict)
 	case http.StatusBadRequest, http.StatusNotFound, http.StatusMethodNotAllowed,
 		http.StatusRequestEntityTooLarge, http.StatusServiceUnavailable:
-		return notRun("platform refused the write", a.failure())
+		return notRun("platform refused the write", r.statusError())
 	}
-	return result.NewError(result.MayHaveRun, "platform write failed", a.failure())
+	return result.NewError(result.MayHaveRun, "platform write failed", r.statusError())
 }
 
-// failure describes an answer with an unwanted status.
-func (a answer) failure() error {
-	const shown = 200
-	return fmt.Errorf("status %d: %s", a.status, a.body[:min(len(a.body), shown)])
+// statusError returns an error with the status and the start of the body.
+func (r response) statusError() error {
+	const maxShown = 200
+	return fmt.Errorf("status %d: %s", r.status, r.body[:min(len(r.body), maxShown)])
 }
 
-// parseRevision returns the revision in the answer's header.
-func (a answer) parseRevision() (ident.Revision, error) {
-	n, err := strconv.ParseUint(a.revision, 10, 64)
+// parseRevision returns the revision in the response's header.
+func (r response) parseRevision() (ident.Revision, error) {
+	n, err := strconv.ParseUint(r.revision, 10, 64)
 	return ident.Revision(n), err
 }
 
-// notRun returns an error of a call that had no effect.
+// notRun returns the error of a call that certainly had no effect.
 func notRun(reason string, cause error) *result.Error {
 	return result.NewError(result.NotRun, reason, cause)
 }
--- a/io/plat/client_test.go
+++ b/io/plat/client_test.go
@@ -17,8 +17,8 @@
 	"hickoryrail/io/stub"
 )
 
-// serve starts a stand-in and returns it with a client.
-func serve(t *testing.T, timeout clock.Millis) (*stub.Server, *plat.Client) {
+// startStub starts a stub server and returns it with a client.
+func startStub(t *testing.T, timeout clock.Millis) (*stub.Server, *plat.Client) {
 	t.Helper()
 	s := &stub.Server{Listen: "127.0.0.1:0"}
 	if err := s.Open(); err != nil {
@@ -41,7 +41,7 @@
 func TestClientRows(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	s, c := serve(t, 0)
+	s, c := startStub(t, 0)
 
 	row, err := c.ReadRow(ctx, "Key/a b/?&=")
 	is.NoErr(err)
@@ -78,11 +78,11 @@
 	is.Equal(s.Counts().RowConflicts, uint64(1))
 }
 
-// TestClientObjects guards against a missing object that looks empty.
+// TestClientObjects guards against a missing object that is returned as an empty one.
 func TestClientObjects(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	_, c := serve(t, 0)
+	_, c := startStub(t, 0)
 	_, err := c.GetObject(ctx, "Release/1")
 	is.True(errors.Is(err, plat.ErrNotFound))
 	body := []byte(strings.Repeat("x", 1<<20))
@@ -92,12 +92,12 @@
 	is.Equal(got, body)
 }
 
-// TestClientVerdicts guards against a lost answer that is reported as NotRun,
+// TestClientVerdicts guards against a lost response that is reported as NotRun,
 // and against a refused connection that is reported as MayHaveRun.
 func TestClientVerdicts(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	s, c := serve(t, 0)
+	s, c := startStub(t, 0)
 	_, err := c.ReadRow(ctx, "Warm") // the next calls reuse this connection
 	is.NoErr(err)
 
@@ -106,14 +106,14 @@
 	is.Equal(result.Of(err), result.MayHaveRun)
 	row, err := c.ReadRow(ctx, "A")
 	is.NoErr(err)
-	is.Equal(string(row.Value), "1") // it took effect
+	is.Equal(string(row.Value), "1") // the write took effect
 
 	s.LoseRequests(1)
 	_, err = c.WriteRow(ctx, "B", []byte("1"), 0)
 	is.Equal(result.Of(err), result.MayHaveRun)
 	row, err = c.ReadRow(ctx, "B")
 	is.NoErr(err)
-	is.True(row.Revision == 0) // it did not
+	is.True(row.Revision == 0) // the write had no effect
 
 	s.LoseAnswers(1)
 	is.Equal(result.Of(c.PutObject(ctx, "O", []byte("1"))), result.MayHaveRun)
@@ -126,10 +126,10 @@
 	_, err = c.ListRows(ctx, "A")
 	is.Equal(result.Of(err), result.NotRun)
 
-	free, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	address := free.Addr().String()
-	is.NoErr(free.Close())
+	address := listener.Addr().String()
+	is.NoErr(listener.Close())
 	refused := &plat.Client{URL: "http://" + address}
 	_, err = refused.WriteRow(ctx, "A", []byte("2"), 0)
 	is.Equal(result.Of(err), result.NotRun)
@@ -139,7 +139,7 @@
 // although it still takes effect.
 func TestClientTimeout(t *testing.T) {
 	is := is.New(t)
-	s, c := serve(t, 50)
+	s, c := startStub(t, 50)
 	s.SetSlow(400)
 	_, err := c.WriteRow(context.Background(), "A", []byte("1"), 0)
 	is.Equal(result.Of(err), result.MayHaveRun)
@@ -147,11 +147,11 @@
 	is.Equal(result.Of(err), result.NotRun)
 }
 
-// TestClientBrokenAnswers guards against an answer outside the protocol that
-// passes for a known outcome.
+// TestClientBrokenAnswers guards against a response that violates the protocol but is
+// treated as a known outcome.
 func TestClientBrokenAnswers(t *testing.T) {
 	ctx := context.Background()
-	answers := map[string]http.HandlerFunc{
+	handlers := map[string]http.HandlerFunc{
 		"no revision":    func(http.ResponseWriter, *http.Request) {},
 		"bad revision":   func(w http.ResponseWriter, _ *http.Request) { w.Header().Set(plat.RevisionHeader, "-1") },
 		"zero revision":  func(w http.ResponseWriter, _ *http.Request) { w.Header().Set(plat.RevisionHeader, "0") },
@@ -161,7 +161,7 @@
 		},
 		"cut short": func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Content-Length", "9") },
 	}
-	for name, handler := range answers {
+	for name, handler := range handlers {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			server := httptest.NewServer(handler)
--- a/io/plat/meter.go
+++ b/io/plat/meter.go
@@ -12,20 +12,21 @@
 )
 
 const (
-	// conflictLabel is the outcome of a failed condition, which is no failure of
-	// the platform.
+	// conflictLabel is the outcome of a write whose condition failed, which is not a
+	// failure of the platform.
 	conflictLabel = "Conflict"
-	// firstBucketSeconds and buckets span 0.5 ms to 4 s in powers of two.
+	// firstBucketSeconds and bucketCount define histogram buckets from 0.5 ms to 4 s
+	// in powers of two.
 	firstBucketSeconds = 0.0005
-	buckets            = 14
+	bucketCount        = 14
 )
 
-// Meter is a Store that counts the calls to another one. Open comes before the
-// first call.
+// Meter is a Store that forwards calls to another Store and records metrics of
+// them. Call Open before the first call.
 type Meter struct {
 	Store Store
 	Clock clock.Clock
-	// Registry takes the metrics.
+	// Registry is where Open registers the metrics.
 	Registry prometheus.Registerer
 
 	calls   *prometheus.CounterVec
@@ -48,12 +49,12 @@
 	m.seconds = prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Name:    "hickoryrail_platform_call_seconds",
 		Help:    "Durations of calls to the platform by kind.",
-		Buckets: prometheus.ExponentialBuckets(firstBucketSeconds, 2, buckets),
+		Buckets: prometheus.ExponentialBuckets(firstBucketSeconds, 2, bucketCount),
 	}, []string{"call"})
 	return errors.Join(m.Registry.Register(m.calls), m.Registry.Register(m.bytes), m.Registry.Register(m.seconds))
 }
 
-// record counts one call that began at start.
+// record updates the metrics for one call that began at start.
 func (m *Meter) record(call string, start clock.Millis, err error, sent, received int) {
 	outcome := result.Of(err).String()
 	switch {
@@ -68,7 +69,7 @@
 	m.seconds.WithLabelValues(call).Observe((m.Clock.Now() - start).Duration().Seconds())
 }
 
-// ReadRow is a strong read of one row.
+// ReadRow makes a strongly consistent read of one row.
 func (m *Meter) ReadRow(ctx context.Context, key string) (Row, error) {
 	start := m.Clock.Now()
 	row, err := m.Store.ReadRow(ctx, key)
@@ -88,7 +89,7 @@
 	return rows, err
 }
 
-// WriteRow writes or deletes a row on the condition of its revision.
+// WriteRow writes or deletes a row on condition that it has revision ifRevision.
 func (m *Meter) WriteRow(ctx context.Context, key string, value []byte, ifRevision ident.Revision) (Row, error) {
 	start := m.Clock.Now()
 	row, err := m.Store.WriteRow(ctx, key, value, ifRevision)
@@ -96,7 +97,7 @@
 	return row, err
 }
 
-// PutObject stores an object.
+// PutObject stores an object and replaces an existing one of the same name.
 func (m *Meter) PutObject(ctx context.Context, name string, body []byte) error {
 	start := m.Clock.Now()
 	err := m.Store.PutObject(ctx, name, body)
@@ -104,7 +105,7 @@
 	return err
 }
 
-// GetObject returns an object or ErrNotFound.
+// GetObject returns an object, or ErrNotFound if it does not exist.
 func (m *Meter) GetObject(ctx context.Context, name string) ([]byte, error) {
 	start := m.Clock.Now()
 	body, err := m.Store.GetObject(ctx, name)
--- a/io/plat/meter_test.go
+++ b/io/plat/meter_test.go
@@ -13,7 +13,7 @@
 	"hickoryrail/io/stub"
 )
 
-// TestMeter guards against calls that are not counted or are counted with another
+// TestMeter guards against calls that are not counted or are counted with a wrong
 // outcome.
 func TestMeter(t *testing.T) {
 	is := is.New(t)
@@ -21,9 +21,9 @@
 	table := &stub.Table{}
 	m := &plat.Meter{Store: table, Clock: clock.NewManual(0), Registry: registry}
 	is.NoErr(m.Open())
-	is.True((&plat.Meter{Registry: registry}).Open() != nil) // registered twice
+	is.True((&plat.Meter{Registry: registry}).Open() != nil) // duplicate registration
 	s := submitter(m, clock.NewManual(0))
-	_, err := s.Submit(context.Background(), order.Edit{ID: "a", Configuration: services(1)})
+	_, err := s.Submit(context.Background(), order.Edit{ID: "a", Configuration: configurationOf(1)})
 	is.NoErr(err)
 	_, err = m.WriteRow(context.Background(), order.HeadKey, nil, 0)
 	is.True(err != nil)
--- a/io/plat/records.go
+++ b/io/plat/records.go
@@ -12,15 +12,16 @@
 )
 
 var (
-	// ErrBadRelease reports a stored release that is not whole and valid or not
-	// the one that its row names.
-	ErrBadRelease = errors.New("stored release is refused")
-	// errMismatch reports an object that is not the one its row names.
+	// ErrInvalidRelease reports a stored release that is incomplete, invalid or not
+	// the one that its row refers to.
+	ErrInvalidRelease = errors.New("stored release is refused")
+	// errMismatch reports a row or an object whose content does not match the key or
+	// the row that refers to it.
 	errMismatch = errors.New("object is not the one that its row names")
 )
 
-// ReadHead is a strong read of the row Head. Without any release it returns the
-// zero Head and revision 0.
+// ReadHead makes a strongly consistent read of the row Head. If there is no release
+// yet, it returns the zero Head and revision 0.
 func ReadHead(ctx context.Context, s Store) (order.Head, ident.Revision, error) {
 	row, err := s.ReadRow(ctx, order.HeadKey)
 	if err != nil || row.Revision == 0 {
@@ -46,7 +47,7 @@
 			return nil, err
 		}
 		if !ok && v == head.Version {
-			h, ok = order.HistoryOf(head), true // not recorded yet
+			h, ok = order.HistoryOf(head), true // the newest release may not be in the history yet
 		}
 		if !ok {
 			return nil, notRun("history row is missing", fmt.Errorf("version %d", v))
@@ -56,7 +57,7 @@
 	return list, nil
 }
 
-// readHistoryRow returns the history row of a version and whether it exists.
+// readHistoryRow returns the history row of version v and whether it exists.
 func readHistoryRow(ctx context.Context, s Store, v ident.Version) (order.History, bool, error) {
 	row, err := s.ReadRow(ctx, order.HistoryKey(v))
 	if err != nil || row.Revision == 0 {
@@ -72,8 +73,8 @@
 	return h, true, nil
 }
 
-// ReadRelease returns the release that h names; order.HistoryOf makes h from a
-// Head. The edit id comes from h, because two edits that lead to the same
+// ReadRelease returns the release that h refers to; order.HistoryOf converts a Head
+// to h. The edit id comes from h, because two edits that result in the same
 // configuration share one object.
 func ReadRelease(ctx context.Context, s Store, h order.History) (model.Release, error) {
 	body, err := s.GetObject(ctx, h.Object)
@@ -85,13 +86,14 @@
 		err = errMismatch
 	}
 	if err != nil {
-		return model.Release{}, notRun("release is malformed", errors.Join(ErrBadRelease, err))
+		return model.Release{}, notRun("release is malformed", errors.Join(ErrInvalidRelease, err))
 	}
 	r.EditID = h.EditID
 	return r, nil
 }
 
-// ReadVersion returns the release with version v, or ErrNotFound.
+// ReadVersion returns the release with version v, or ErrNotFound if it does not
+// exist.
 func ReadVersion(ctx context.Context, s Store, v ident.Version) (model.Release, error) {
 	h, ok, err := readHistoryRow(ctx, s, v)
 	if err != nil {
@@ -124,8 +126,8 @@
 }
 
 // ReadSchedule returns the scheduled edits in the order in which they will be
-// accepted. Malformed rows are left out and reported in the error, so that one
-// of them does not hold up the others.
+// accepted. It skips malformed rows and reports them in the error, so that they do
+// not block the valid ones.
 func ReadSchedule(ctx context.Context, s Store) ([]order.Pending, error) {
 	rows, err := s.ListRows(ctx, order.SchedulePrefix)
 	if err != nil {
@@ -148,7 +150,7 @@
 	return list, nil
 }
 
-// replyOf returns the reply that an error of a Store stands for.
+// replyOf converts an error of a Store to an order.Reply.
 func replyOf(err error) order.Reply {
 	switch {
 	case err == nil:
--- a/io/plat/schedule.go
+++ b/io/plat/schedule.go
@@ -9,9 +9,9 @@
 	"hickoryrail/core/order"
 )
 
-// Schedule stores an edit that AcceptDue accepts at its release time. A time in
-// the past means the next call of AcceptDue. Scheduling the same edit again is
-// not an error and leaves the first time in force.
+// Schedule stores an edit that AcceptDue submits at its release time. If the time
+// is in the past, the next call of AcceptDue submits it. Scheduling the same edit
+// again is not an error and does not change the release time.
 func (s *Submitter) Schedule(ctx context.Context, e order.Edit, at clock.Millis) error {
 	if !order.ValidEditID(e.ID) {
 		return notRun("edit id is malformed", nil)
@@ -30,7 +30,7 @@
 	return s.create(ctx, order.ScheduleKey(e.ID), order.EncodeSchedule(row))
 }
 
-// create writes a row that is absent. An existing row is left as it is.
+// create writes a row if it is absent, and leaves an existing row unchanged.
 func (s *Submitter) create(ctx context.Context, key string, value []byte) error {
 	_, err := s.Store.WriteRow(ctx, key, value, 0)
 	if errors.Is(err, ErrConflict) {
@@ -39,7 +39,7 @@
 	return err
 }
 
-// Reschedule changes the release time of an edit that was not accepted or
+// Reschedule changes the release time of an edit that has not been accepted or
 // refused yet.
 func (s *Submitter) Reschedule(ctx context.Context, id ident.EditID, at clock.Millis) error {
 	row, err := s.Store.ReadRow(ctx, order.ScheduleKey(id))
@@ -47,7 +47,7 @@
 		return err
 	}
 	if row.Revision == 0 {
-		return notRun("edit is not scheduled", errUnscheduled)
+		return notRun("edit is not scheduled", errNotScheduled)
 	}
 	p, err := order.DecodePending(row.Key, row.Value, row.Revision)
 	if err != nil {
@@ -58,12 +58,12 @@
 	return err
 }
 
-// AcceptDue submits the scheduled edits whose time has come, in the order of
-// time and edit id. It stops at the first edit whose outcome is unknown, so that
-// no later edit overtakes it, and returns the outcomes so far with the error.
-// Malformed rows do not hold up the others; they are reported in the error.
+// AcceptDue submits the scheduled edits whose release time has been reached, in the
+// order of time and edit id. It stops at the first edit whose outcome is unknown,
+// so that no later edit is accepted before it, and returns the outcomes so far with
+// the error. Malformed rows are skipped and reported in the error.
 func (s *Submitter) AcceptDue(ctx context.Context) ([]Outcome, error) {
-	pending, malformed := ReadSchedule(ctx, s.Store)
+	pending, listErr := ReadSchedule(ctx, s.Store)
 	var outcomes []Outcome
 	for _, p := range order.Due(s.Clock.Now(), pending) {
 		o, err := s.acceptPending(ctx, p)
@@ -72,7 +72,7 @@
 		}
 		outcomes = append(outcomes, o)
 	}
-	return outcomes, malformed
+	return outcomes, listErr
 }
 
 // acceptPending submits one scheduled edit and removes its row. If the removal
@@ -86,12 +86,12 @@
 	if err != nil {
 		return Outcome{}, err
 	}
-	_, _ = s.Store.WriteRow(ctx, order.ScheduleKey(p.EditID), nil, p.Revision) // the outcome stands in any case
+	_, _ = s.Store.WriteRow(ctx, order.ScheduleKey(p.EditID), nil, p.Revision) // a failure does not change the outcome
 	return o, nil
 }
 
-// readPending returns the submission of a scheduled edit. It is refused if its
-// object is missing or does not belong to the row.
+// readPending returns the submission of a scheduled edit. The submission refuses
+// the edit if its object is missing or does not match the row.
 func (s *Submitter) readPending(ctx context.Context, p order.Pending) (*order.Submission, error) {
 	body, err := s.Store.GetObject(ctx, p.Object)
 	if err != nil && !errors.Is(err, ErrNotFound) {
--- a/io/plat/source.go
+++ b/io/plat/source.go
@@ -9,23 +9,24 @@
 )
 
 type (
-	// Source holds the operators' newest release. Errors are *result.Error.
+	// Source provides the operators' newest release. Errors are *result.Error.
 	Source interface {
-		// Newest reads the newest release, and the revision up to which the
-		// source was read. A release of version 0 means that there is none yet.
+		// Newest returns the newest release and the revision up to which the source
+		// was read. Version 0 means that there is no release yet.
 		Newest(ctx context.Context) (model.Release, ident.Revision, error)
 		// Next waits for a release that was written after a revision. It returns
-		// version 0 if there was none for a while, and ErrForgotten if the source
-		// no longer knows what came after the revision.
+		// version 0 if none was written for some time, and ErrRevisionTooOld if the
+		// history of the source no longer reaches back to the revision.
 		Next(ctx context.Context, after ident.Revision) (model.Release, ident.Revision, error)
 	}
 
-	// Directory lists the nodes, so that they find each other. Errors are
+	// Directory is the list of nodes by which they discover each other. Errors are
 	// *result.Error.
 	Directory interface {
-		// Enter adds or replaces a node's own entry.
-		Enter(ctx context.Context, s member.Seed) error
-		// Nodes returns all entries; some may be of nodes that are gone.
+		// Register adds or replaces a node's own entry.
+		Register(ctx context.Context, s member.Seed) error
+		// Nodes returns all entries, possibly with those of nodes that no longer
+		// exist.
 		Nodes(ctx context.Context) ([]member.Seed, error)
 	}
 )
--- a/io/plat/submitter.go
+++ b/io/plat/submitter.go
@@ -16,59 +16,61 @@
 )
 
 type (
-	// Submitter brings edits to acceptance or refusal against a Store. It is
-	// safe for concurrent use, also by several processes on one store.
+	// Submitter submits edits to a Store until each is accepted or refused. It is
+	// safe for concurrent use, and several processes may use one store.
 	Submitter struct {
 		Store Store
 		Clock clock.Clock
-		// Seed spreads retries; it differs between processes.
+		// Seed is the seed of the retry jitter; it must differ between processes.
 		Seed uint64
-		// Sleep waits for a duration or until ctx ends; nil is a timer.
+		// Sleep waits for a duration or until ctx ends; nil means a timer.
 		Sleep func(ctx context.Context, d clock.Millis) error
 	}
 
-	// Outcome is the end of a submission or of a dry run.
+	// Outcome is the result of a submission or of a dry run.
 	Outcome struct {
 		EditID ident.EditID
 		// State is order.Released, order.Refused or, for a dry run that would be
 		// accepted, empty.
 		State order.State
-		// Version is that of the release, or the one that a dry run would get.
+		// Version is that of the release; for a dry run, that of the release it
+		// would create.
 		Version ident.Version
-		// Head is the row after the acceptance; its Version is 0 if a later
-		// release is known already.
+		// Head is the row Head after the acceptance; its Version is 0 if a later
+		// release is already known.
 		Head order.Head
-		// Release is what was accepted or planned; its Version is 0 if the edit
-		// had been accepted before this submission.
+		// Release is the accepted or planned release; its Version is 0 if the edit
+		// was accepted before this submission.
 		Release model.Release
-		// Changes are the fields that Release changes in its predecessor.
+		// Changes are the fields that differ between Release and its predecessor.
 		Changes []model.Change
-		// Clashes are the fields for which the edit was refused.
+		// Clashes are the conflicting fields because of which the edit was refused.
 		Clashes []string
-		// Reason says why the edit was refused.
+		// Reason is why the edit was refused.
 		Reason string
 	}
 )
 
-// errUnscheduled reports an edit that is not scheduled, or no longer.
-var errUnscheduled = errors.New("edit is not scheduled")
+// errNotScheduled reports an edit without a schedule row: it was never scheduled, or
+// it has been accepted or refused.
+var errNotScheduled = errors.New("edit is not scheduled")
 
-// Submit brings an edit to acceptance or refusal. An error has the verdict NotRun
-// if the edit was surely not accepted, and MayHaveRun if it may be accepted
-// still; submitting it again with the same id then tells the outcome.
+// Submit submits an edit until it is accepted or refused. An error has the verdict
+// NotRun if the edit was certainly not accepted, and MayHaveRun if it may still be
+// accepted; another submission with the same id then returns the outcome.
 func (s *Submitter) Submit(ctx context.Context, e order.Edit) (Outcome, error) {
 	return s.run(ctx, &order.Submission{Edit: e})
 }
 
-// Plan returns what Submit would do at this moment, and writes nothing.
+// Plan returns the outcome that Submit would have now, and writes nothing.
 func (s *Submitter) Plan(ctx context.Context, e order.Edit) (Outcome, error) {
 	return s.run(ctx, &order.Submission{Edit: e, DryRun: true})
 }
 
-// run answers each action of the submission until it ends.
+// run carries out the actions of the submission until it ends.
 func (s *Submitter) run(ctx context.Context, m *order.Submission) (Outcome, error) {
 	m.Rand = rand.New(rand.NewPCG(s.Seed, xxhash.Sum64String(string(m.Edit.ID))))
-	var last error
+	var lastErr error
 	a := m.Begin(s.Clock.Now())
 	for {
 		var err error
@@ -88,16 +90,16 @@
 		case order.Plan:
 			return outcomeOf(m.Edit.ID, "", a), nil
 		case order.GiveUp:
-			return Outcome{}, result.NewError(a.Verdict, "submission gave up", last)
+			return Outcome{}, result.NewError(a.Verdict, "submission gave up", lastErr)
 		}
 		if a, err = s.step(ctx, m, a); err != nil {
-			last = err
+			lastErr = err
 		}
 	}
 }
 
-// step carries out one action against the store and returns the next one, with
-// the error of the store if there was one.
+// step makes one action's call to the store. It returns the next action and the
+// error of the call.
 func (s *Submitter) step(ctx context.Context, m *order.Submission, a order.Action) (order.Action, error) {
 	switch a.Kind {
 	case order.ReadHead:
@@ -125,10 +127,11 @@
 		_, err := s.Store.WriteRow(ctx, order.EditKey(m.Edit.ID), order.EncodeEditRow(a.Row), a.Revision)
 		return m.RefusalRecorded(s.Clock.Now(), replyOf(err)), err
 	}
-	panic("plat: submission asks for an unknown action")
+	panic("plat: submission requested an unknown action")
 }
 
-// readRelease reads the release of the newest or of an earlier version.
+// readRelease reads the release with version a.Version, the newest or an earlier
+// one.
 func (s *Submitter) readRelease(ctx context.Context, a order.Action) (model.Release, error) {
 	if a.Head.Version == a.Version {
 		return ReadRelease(ctx, s.Store, order.HistoryOf(a.Head))
@@ -136,8 +139,9 @@
 	return ReadVersion(ctx, s.Store, a.Version)
 }
 
-// recordAccepted writes the rows of an own release. A failure does no harm: the
-// submitter of the next release writes them before its own acceptance.
+// recordAccepted writes the edit and history rows of a release of this submission.
+// Errors are ignored, because the submitter of the next release writes missing rows
+// before it writes Head.
 func (s *Submitter) recordAccepted(ctx context.Context, e order.Edit, a order.Action) {
 	if a.Head.Version != a.Version || a.Version == 0 {
 		return
@@ -148,8 +152,8 @@
 	_ = s.recordHead(ctx, h, row)
 }
 
-// recordHead writes the history row and the edit row of a release unless they
-// exist. An acceptance replaces any other state in the edit row.
+// recordHead writes the edit row and the history row of a release unless they
+// exist. The state Released replaces any other state in the edit row.
 func (s *Submitter) recordHead(ctx context.Context, h order.History, row order.EditRow) error {
 	old, revision, err := ReadEdit(ctx, s.Store, h.EditID)
 	if err != nil {
@@ -165,12 +169,12 @@
 	}
 	_, err = s.Store.WriteRow(ctx, order.HistoryKey(h.Version), order.EncodeHistory(h), 0)
 	if errors.Is(err, ErrConflict) {
-		return nil // recorded already
+		return nil // already recorded
 	}
 	return err
 }
 
-// outcomeOf returns the outcome that the last action of a submission stands for.
+// outcomeOf converts the last action of a submission to an outcome.
 func outcomeOf(id ident.EditID, state order.State, a order.Action) Outcome {
 	return Outcome{
 		EditID: id, State: state, Version: a.Version, Head: a.Head, Release: a.Release,
--- a/io/plat/submitter_test.go
+++ b/io/plat/submitter_test.go
@@ -21,8 +21,8 @@
 	"hickoryrail/io/stub"
 )
 
-// init fixes rapid's seed, so that every run tries the same cases. A -rapid.seed
-// on the command line takes precedence.
+// init sets rapid's seed, so that every run tests the same cases. A -rapid.seed on
+// the command line takes precedence.
 func init() {
 	err := errors.Join(flag.Set("rapid.seed", "20261204"), flag.Set("rapid.nofailfile", "true"), flag.Set("rapid.checks", "400"))
 	if err != nil {
@@ -30,9 +30,9 @@
 	}
 }
 
-// services returns a configuration with the given slots per service; 0 leaves the
-// service out.
-func services(slots ...int) model.Configuration {
+// configurationOf returns a configuration with the given slots per service; 0 omits the
+// service.
+func configurationOf(slots ...int) model.Configuration {
 	var c model.Configuration
 	for i, n := range slots {
 		if n == 0 {
@@ -44,7 +44,7 @@
 	return c
 }
 
-// submitter returns a Submitter whose waits advance its clock.
+// submitter returns a Submitter that advances its clock instead of waiting.
 func submitter(s plat.Store, c *clock.Manual) *plat.Submitter {
 	return &plat.Submitter{Store: s, Clock: c, Sleep: func(ctx context.Context, d clock.Millis) error {
 		c.Advance(d)
@@ -52,29 +52,30 @@
 	}}
 }
 
-// TestSubmit guards against rows and objects that do not match the release.
+// TestSubmit guards against rows and objects that do not match the release, and
+// against a second acceptance of an edit that is submitted again.
 func TestSubmit(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	table := &stub.Table{}
 	s := submitter(table, clock.NewManual(1000))
-	first, err := s.Submit(ctx, order.Edit{ID: "a", Operator: "ann", Configuration: services(1, 1)})
+	first, err := s.Submit(ctx, order.Edit{ID: "a", Operator: "ann", Configuration: configurationOf(1, 1)})
 	is.NoErr(err)
 	is.Equal(first.State, order.Released)
 	is.Equal(first.Head.Version, ident.Version(1))
-	plan, err := s.Plan(ctx, order.Edit{ID: "b", Base: 1, Configuration: services(2, 1)})
+	plan, err := s.Plan(ctx, order.Edit{ID: "b", Base: 1, Configuration: configurationOf(2, 1)})
 	is.NoErr(err)
-	second, err := s.Submit(ctx, order.Edit{ID: "b", Base: 1, Configuration: services(2, 1)})
+	second, err := s.Submit(ctx, order.Edit{ID: "b", Base: 1, Configuration: configurationOf(2, 1)})
 	is.NoErr(err)
 	is.Equal(plan.Changes, []model.Change{{Field: "Service/s0/Slots", Old: "1", New: "2"}})
 	is.Equal(plan.Changes, second.Changes)
-	refused, err := s.Submit(ctx, order.Edit{ID: "c", Base: 1, Configuration: services(3, 1)})
+	refused, err := s.Submit(ctx, order.Edit{ID: "c", Base: 1, Configuration: configurationOf(3, 1)})
 	is.NoErr(err)
 	is.Equal(refused.State, order.Refused)
 	is.Equal(refused.Clashes, []string{"Service/s0/Slots"})
-	again, err := s.Submit(ctx, order.Edit{ID: "a", Configuration: services(1, 1)})
+	again, err := s.Submit(ctx, order.Edit{ID: "a", Configuration: configurationOf(1, 1)})
 	is.NoErr(err)
-	is.Equal(again.Version, ident.Version(1)) // submitted again, not accepted again
+	is.Equal(again.Version, ident.Version(1)) // the second submission returns the outcome of the first
 
 	history, err := plat.ReadHistory(ctx, table, 10)
 	is.NoErr(err)
@@ -97,25 +98,25 @@
 	is.Equal(row.Clashes, refused.Clashes)
 }
 
-// TestSubmitDuringOutage guards against an unbounded wait, a wrong verdict and an
-// edit that cannot be submitted again after the outage.
+// TestSubmitDuringOutage guards against an unbounded wait and a wrong verdict during
+// an outage, and against an edit that cannot be submitted again after it.
 func TestSubmitDuringOutage(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	table := &stub.Table{}
 	s := submitter(table, clock.NewManual(0))
 	table.SetDown(true)
-	_, err := s.Submit(ctx, order.Edit{ID: "a", Configuration: services(1)})
+	_, err := s.Submit(ctx, order.Edit{ID: "a", Configuration: configurationOf(1)})
 	is.Equal(result.Of(err), result.NotRun)
 	table.SetDown(false)
-	o, err := s.Submit(ctx, order.Edit{ID: "a", Configuration: services(1)})
+	o, err := s.Submit(ctx, order.Edit{ID: "a", Configuration: configurationOf(1)})
 	is.NoErr(err)
 	is.Equal(o.Version, ident.Version(1))
 }
 
-// loseHead returns a store that loses the answer of the first Head write and is
-// down afterwards.
-func loseHead() *stub.Table {
+// loseHeadResponse returns a store that loses the response to the first Head write and
+// is down afterwards.
+func loseHeadResponse() *stub.Table {
 	table, lost := &stub.Table{}, false
 	table.Before = func(method, name string) {
 		if lost {
@@ -129,16 +130,17 @@
 	return table
 }
 
-// TestLostHeadWrite guards against an acceptance that is reported as NotRun when
-// the store goes down before the lost answer can be settled, and against a
-// schedule row that is removed before the outcome of its edit is known.
+// TestLostHeadWrite guards against an acceptance that is reported as NotRun when the
+// response to the Head write is lost and the store goes down before the outcome can be
+// read, and against a schedule row that is removed before the outcome of its edit is
+// known.
 func TestLostHeadWrite(t *testing.T) {
 	ctx := context.Background()
 	for _, scheduled := range []bool{false, true} {
 		is := is.New(t)
-		store := loseHead()
+		store := loseHeadResponse()
 		s := submitter(store, clock.NewManual(100))
-		e := order.Edit{ID: "a", Configuration: services(1)}
+		e := order.Edit{ID: "a", Configuration: configurationOf(1)}
 		submit := func() ([]plat.Outcome, error) {
 			o, err := s.Submit(ctx, e)
 			return []plat.Outcome{o}, err
@@ -165,17 +167,17 @@
 	}
 }
 
-// TestRacingSubmitters guards against a lost update when operators on many nodes
-// submit at once over HTTP while answers are lost.
+// TestRacingSubmitters guards against a lost update when several operators submit
+// concurrently over HTTP while responses are lost.
 func TestRacingSubmitters(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	server, client := serve(t, 0)
+	server, client := startStub(t, 0)
 	const operators = 6
 	s := &plat.Submitter{Store: client, Clock: clock.NewSystem()}
-	_, err := s.Submit(ctx, order.Edit{ID: "base", Configuration: services(1, 1, 1, 1, 1, 1)})
+	_, err := s.Submit(ctx, order.Edit{ID: "base", Configuration: configurationOf(1, 1, 1, 1, 1, 1)})
 	is.NoErr(err)
-	server.SetFaults(stub.Faults{SlowMillis: 5, LoseAnswers: 2}) // slow calls overlap
+	server.SetFaults(stub.Faults{SlowMillis: 5, LoseAnswers: 2}) // the delay makes calls overlap
 	var wg sync.WaitGroup
 	outcomes := make([]plat.Outcome, operators)
 	failures := make([]error, operators)
@@ -183,7 +185,7 @@
 		wg.Go(func() {
 			slots := []int{1, 1, 1, 1, 1, 1}
 			slots[i] = 2
-			e := order.Edit{ID: ident.EditID(fmt.Sprintf("e%d", i)), Base: 1, Configuration: services(slots...)}
+			e := order.Edit{ID: ident.EditID(fmt.Sprintf("e%d", i)), Base: 1, Configuration: configurationOf(slots...)}
 			outcomes[i], failures[i] = s.Submit(ctx, e)
 		})
 	}
@@ -198,13 +200,13 @@
 	is.Equal(versions, []ident.Version{2, 3, 4, 5, 6, 7})
 	r, err := plat.ReadVersion(ctx, client, 7)
 	is.NoErr(err)
-	is.Equal(r.Digest, services(2, 2, 2, 2, 2, 2).Digest())
+	is.Equal(r.Digest, configurationOf(2, 2, 2, 2, 2, 2).Digest())
 }
 
-// TestPausedAcceptor guards against harm by a lease holder that is paused at any
-// call of AcceptDue and acts on after another node has taken over: an edit that
-// is accepted twice, an order that is not (time, edit id), or a release that
-// replaces a newer one.
+// TestPausedAcceptor guards against a lease holder that is paused before any one of
+// its store calls in AcceptDue and continues after another node has acquired the
+// lease. It must not accept an edit twice, accept edits in an order other than (time,
+// edit id), or replace a newer release.
 func TestPausedAcceptor(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
@@ -212,11 +214,11 @@
 		table := &stub.Table{}
 		now := clock.NewManual(100)
 		successor := submitter(table, now)
-		_, err := successor.Submit(ctx, order.Edit{ID: "base", Configuration: services(1, 1, 1)})
+		_, err := successor.Submit(ctx, order.Edit{ID: "base", Configuration: configurationOf(1, 1, 1)})
 		is.NoErr(err)
-		is.NoErr(successor.Schedule(ctx, order.Edit{ID: "a", Base: 1, Configuration: services(2, 1, 1)}, 10))
-		is.NoErr(successor.Schedule(ctx, order.Edit{ID: "b", Base: 1, Configuration: services(1, 2, 1)}, 20))
-		is.NoErr(successor.Schedule(ctx, order.Edit{ID: "clash", Base: 1, Configuration: services(9, 1, 1)}, 30))
+		is.NoErr(successor.Schedule(ctx, order.Edit{ID: "a", Base: 1, Configuration: configurationOf(2, 1, 1)}, 10))
+		is.NoErr(successor.Schedule(ctx, order.Edit{ID: "b", Base: 1, Configuration: configurationOf(1, 2, 1)}, 20))
+		is.NoErr(successor.Schedule(ctx, order.Edit{ID: "clash", Base: 1, Configuration: configurationOf(9, 1, 1)}, 30))
 
 		direct, calls := rapid.Bool().Draw(t, "direct"), rapid.IntRange(1, 60).Draw(t, "call")
 		table.Before = func(string, string) {
@@ -226,18 +228,18 @@
 			_, err := successor.AcceptDue(ctx)
 			is.NoErr(err)
 			if direct {
-				_, err = successor.Submit(ctx, order.Edit{ID: "d", Base: 1, Configuration: services(1, 1, 3)})
+				_, err = successor.Submit(ctx, order.Edit{ID: "d", Base: 1, Configuration: configurationOf(1, 1, 3)})
 				is.NoErr(err)
 			}
 		}
 		outcomes, err := submitter(table, now).AcceptDue(ctx)
 		is.NoErr(err)
-		direct = direct && calls <= 0 // or the pause would come after the last call
+		direct = direct && calls <= 0 // calls > 0: AcceptDue made fewer calls, so there was no pause
 
 		want := []ident.EditID{"base", "a", "b"}
-		configuration := services(2, 2, 1)
+		configuration := configurationOf(2, 2, 1)
 		if direct {
-			want, configuration = append(want, "d"), services(2, 2, 3)
+			want, configuration = append(want, "d"), configurationOf(2, 2, 3)
 		}
 		history, err := plat.ReadHistory(ctx, table, 10)
 		is.NoErr(err)
@@ -247,7 +249,7 @@
 		}
 		is.Equal(history[0].Digest, configuration.Digest())
 		for _, o := range outcomes {
-			is.Equal(o.State == order.Refused, o.EditID == "clash") // it tells what is true
+			is.Equal(o.State == order.Refused, o.EditID == "clash") // a paused holder reports the real outcome
 		}
 		rows, err := plat.ReadSchedule(ctx, table)
 		is.NoErr(err)
--- a/io/stub/server.go
+++ b/io/stub/server.go
@@ -20,9 +20,9 @@
 // stopTimeout bounds the wait for open connections when a server stops.
 const stopTimeout = time.Second
 
-// Server serves a Table over HTTP; docs/platform.md has the protocol.
+// Server serves a Table over HTTP; docs/platform.md describes the protocol.
 type Server struct {
-	// Listen is the TCP address; port 0 takes a free one.
+	// Listen is the TCP address; port 0 selects a free port.
 	Listen string
 	// Table holds the rows, the objects and the faults.
 	Table
@@ -42,7 +42,7 @@
 		DisableStartupMessage: true,
 		BodyLimit:             plat.MaxBodyBytes,
 		Immutable:             true,
-		ErrorHandler:          refuse,
+		ErrorHandler:          handleError,
 	})
 	s.app.Get("/row", s.readRow)
 	s.app.Put("/row", s.writeRow)
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// Address returns host:port of the bound address, known after Open.
+// Address returns the bound address as host:port. Call it after Open.
 func (s *Server) Address() string {
 	return s.listener.Addr().String()
 }
@@ -72,13 +72,13 @@
 	}
 	err := s.app.ShutdownWithTimeout(stopTimeout)
 	if errors.Is(err, context.DeadlineExceeded) {
-		err = nil // callers that hold their connection open do not fail the stop
+		err = nil // connections that callers keep open are not an error
 	}
 	return errors.Join(err, <-done)
 }
 
-// refuse answers a failed call with the status of its error.
-func refuse(c *fiber.Ctx, err error) error {
+// handleError responds to a failed call with the status of its error.
+func handleError(c *fiber.Ctx, err error) error {
 	var known *fiber.Error
 	switch {
 	case errors.As(err, &known):
@@ -90,15 +90,15 @@
 	case result.Of(err) == result.NotRun:
 		return c.Status(fiber.StatusServiceUnavailable).SendString(err.Error())
 	}
-	// A lost answer: the connection ends without one.
+	// The verdict is MayHaveRun: close the connection without a response.
 	c.Context().HijackSetNoResponse(true)
 	c.Context().Hijack(func(net.Conn) {})
 	return nil
 }
 
-// readRow answers GET /row.
+// readRow handles GET /row.
 func (s *Server) readRow(c *fiber.Ctx) error {
-	key, err := required(c, "Key")
+	key, err := requiredQuery(c, "Key")
 	if err != nil {
 		return err
 	}
@@ -113,9 +113,9 @@
 	return c.Send(row.Value)
 }
 
-// writeRow answers PUT /row and DELETE /row.
+// writeRow handles PUT /row and DELETE /row.
 func (s *Server) writeRow(c *fiber.Ctx) error {
-	key, err := required(c, "Key")
+	key, err := requiredQuery(c, "Key")
 	if err != nil {
 		return err
 	}
@@ -135,18 +135,18 @@
 	return nil
 }
 
-// listRows answers GET /rows.
+// listRows handles GET /rows.
 func (s *Server) listRows(c *fiber.Ctx) error {
 	rows, err := s.ListRows(context.Background(), c.Query("Prefix"))
 	if err != nil {
 		return err
 	}
-	return c.JSON(slices.Concat([]plat.Row{}, rows)) // an empty list is [], not null
+	return c.JSON(slices.Concat([]plat.Row{}, rows)) // encodes an empty list as [], not null
 }
 
-// getObject answers GET /object.
+// getObject handles GET /object.
 func (s *Server) getObject(c *fiber.Ctx) error {
-	name, err := required(c, "Name")
+	name, err := requiredQuery(c, "Name")
 	if err != nil {
 		return err
 	}
@@ -157,17 +157,17 @@
 	return c.Send(body)
 }
 
-// putObject answers PUT /object.
+// putObject handles PUT /object.
 func (s *Server) putObject(c *fiber.Ctx) error {
-	name, err := required(c, "Name")
+	name, err := requiredQuery(c, "Name")
 	if err != nil {
 		return err
 	}
 	return s.PutObject(context.Background(), name, c.Body())
 }
 
-// postFaults answers POST /faults. Unknown fields are refused, so that a
-// misspelt fault does not pass for a working one.
+// postFaults handles POST /faults. It rejects unknown fields, so that a misspelt
+// fault is not silently ignored.
 func (s *Server) postFaults(c *fiber.Ctx) error {
 	d := json.NewDecoder(bytes.NewReader(c.Body()))
 	d.DisallowUnknownFields()
@@ -179,8 +179,8 @@
 	return c.JSON(f)
 }
 
-// required returns a query parameter that must not be empty.
-func required(c *fiber.Ctx, name string) (string, error) {
+// requiredQuery returns a query parameter, or an error if it is empty.
+func requiredQuery(c *fiber.Ctx, name string) (string, error) {
 	value := c.Query(name)
 	if value == "" {
 		return "", fiber.NewError(fiber.StatusBadRequest, name+" is missing")
--- a/io/stub/server_test.go
+++ b/io/stub/server_test.go
@@ -10,8 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// TestServerFaults guards against a misspelt fault that passes for a working
-// one, and against faults that outlive their replacement.
+// TestServerFaults guards against a misspelt fault that is silently ignored, and
+// against faults that remain after they are replaced.
 func TestServerFaults(t *testing.T) {
 	is := is.New(t)
 	s := &Server{Listen: "127.0.0.1:0"}
--- a/io/stub/table.go
+++ b/io/stub/table.go
@@ -1,6 +1,5 @@
-// Package stub provides a stand-in for the platform's table service and object
-// store, for tests, demonstrations and measurements. It keeps everything in
-// memory and can be told to fail.
+// Package stub provides an in-memory stub of the platform's table service and object
+// store, with fault injection, for tests, demonstrations and benchmarks.
 package stub
 
 import (
@@ -19,41 +18,42 @@
 )
 
 type (
-	// Faults are the failures that a Table shows until they are changed.
+	// Faults are the faults that a Table injects until SetFaults replaces them.
 	Faults struct {
-		// Down refuses every call without effect.
+		// Down makes every call fail without effect.
 		Down bool
 		// SlowMillis delays every call before it takes effect.
 		SlowMillis clock.Millis
-		// LoseAnswers is the number of coming writes that take effect and whose
-		// answers are lost.
+		// LoseAnswers is the number of future writes that take effect but whose
+		// responses are lost.
 		LoseAnswers int
-		// LoseRequests is the number of coming writes that are lost without
-		// effect; the caller cannot tell them from lost answers. They come
-		// before LoseAnswers.
+		// LoseRequests is the number of future writes that are lost without
+		// effect; the caller cannot distinguish them from lost responses. They
+		// precede the writes of LoseAnswers.
 		LoseRequests int
 	}
 
-	// Counts are the calls that reached a Table and were not refused by Down.
+	// Counts are the numbers of calls that a Table has executed, by kind. Calls that
+	// failed because of Down or LoseRequests are not included.
 	Counts struct {
 		RowReads, RowLists, RowWrites, RowConflicts uint64
 		ObjectReads, ObjectWrites                   uint64
 	}
 
 	// Table is an in-memory plat.Store. It is safe for concurrent use, and the
-	// zero value is empty and ready.
+	// zero value is an empty store.
 	Table struct {
-		// Before, if set, is called before each call with the name of its method
-		// and the key, prefix or object name. It may call the table itself, so a
-		// test can let others act while a caller is paused at any point. It is set
-		// before the first call.
+		// Before, unless nil, is called before each call with the name of its method
+		// and the key, prefix or object name. It may call the table itself, so that
+		// a test can pause one caller at any call while others continue. Set it
+		// before the first call or while no call is in progress.
 		Before func(method, name string)
 
 		mu     sync.Mutex
 		faults Faults
 		counts Counts
-		// revision is the last one given out. It is shared by all rows, so a row
-		// that is deleted and written again gets a revision it never had.
+		// revision is the last assigned revision. All rows share it, so that a row
+		// that is deleted and written again gets a revision that it never had before.
 		revision ident.Revision
 		rows     map[string]plat.Row
 		objects  map[string][]byte
@@ -61,9 +61,9 @@
 )
 
 var (
-	// errDown is the cause of refusals while the table is down.
+	// errDown is the cause of errors while the table is down.
 	errDown = errors.New("table is down")
-	// errLost is the cause of a lost answer or request.
+	// errLost is the cause of errors for a lost response or request.
 	errLost = errors.New("connection closed before the answer")
 )
 
@@ -76,49 +76,49 @@
 	t.faults = f
 }
 
-// Faults returns the faults in force.
+// Faults returns the current faults.
 func (t *Table) Faults() Faults {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.faults
 }
 
-// SetDown switches the outage on or off and keeps the other faults.
+// SetDown sets Faults.Down and keeps the other faults.
 func (t *Table) SetDown(down bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.faults.Down = down
 }
 
-// SetSlow sets the delay of every call and keeps the other faults.
+// SetSlow sets Faults.SlowMillis and keeps the other faults.
 func (t *Table) SetSlow(delay clock.Millis) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.faults.SlowMillis = delay
 }
 
-// LoseAnswers makes the next n writes take effect and lose their answers.
+// LoseAnswers sets Faults.LoseAnswers and keeps the other faults.
 func (t *Table) LoseAnswers(n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.faults.LoseAnswers = n
 }
 
-// LoseRequests loses the next n writes before they take effect.
+// LoseRequests sets Faults.LoseRequests and keeps the other faults.
 func (t *Table) LoseRequests(n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.faults.LoseRequests = n
 }
 
-// Counts returns the calls so far.
+// Counts returns the numbers of calls so far.
 func (t *Table) Counts() Counts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.counts
 }
 
-// ReadRow returns the row; every read is strong.
+// ReadRow makes a strongly consistent read of one row.
 func (t *Table) ReadRow(ctx context.Context, key string) (plat.Row, error) {
 	t.before("ReadRow", key)
 	var row plat.Row
@@ -149,7 +149,7 @@
 	return rows, err
 }
 
-// WriteRow writes or deletes the row if it has revision ifRevision.
+// WriteRow writes or deletes a row on condition that it has revision ifRevision.
 func (t *Table) WriteRow(ctx context.Context, key string, value []byte, ifRevision ident.Revision) (plat.Row, error) {
 	t.before("WriteRow", key)
 	row := plat.Row{Key: key, Value: slices.Clone(value)}
@@ -178,7 +178,7 @@
 	return row, nil
 }
 
-// PutObject stores an object.
+// PutObject stores an object and replaces an existing one of the same name.
 func (t *Table) PutObject(ctx context.Context, name string, body []byte) error {
 	t.before("PutObject", name)
 	return t.write(ctx, func() error {
@@ -191,7 +191,7 @@
 	})
 }
 
-// GetObject returns an object or plat.ErrNotFound.
+// GetObject returns an object, or plat.ErrNotFound if it does not exist.
 func (t *Table) GetObject(ctx context.Context, name string) ([]byte, error) {
 	t.before("GetObject", name)
 	var body []byte
@@ -207,16 +207,17 @@
 	return body, err
 }
 
-// before calls Before.
+// before calls Before unless it is nil.
 func (t *Table) before(method, name string) {
 	if t.Before != nil {
 		t.Before(method, name)
 	}
 }
 
-// read runs a read under the lock, unless a fault or the end of ctx prevents it.
+// read runs f under the lock after the delay. It returns an error instead if the table
+// is down or ctx ends first.
 func (t *Table) read(ctx context.Context, f func() error) error {
-	if !t.wait(ctx) {
+	if !t.delay(ctx) {
 		return result.NewError(result.NotRun, "platform read timed out", ctx.Err())
 	}
 	t.mu.Lock()
@@ -227,10 +228,10 @@
 	return f()
 }
 
-// write runs a write under the lock. A write whose caller has given up still
-// takes effect, as it would at a slow platform.
+// write runs f under the lock after the delay. A write whose caller has given up still
+// takes effect, as it would on a slow platform.
 func (t *Table) write(ctx context.Context, f func() error) error {
-	waited := t.wait(ctx)
+	inTime := t.delay(ctx)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.faults.Down {
@@ -241,7 +242,7 @@
 		return result.NewError(result.MayHaveRun, "platform did not answer", errLost)
 	}
 	err := f()
-	if !waited {
+	if !inTime {
 		return result.NewError(result.MayHaveRun, "platform write timed out", ctx.Err())
 	}
 	if t.faults.LoseAnswers > 0 {
@@ -251,13 +252,13 @@
 	return err
 }
 
-// wait delays a call by SlowMillis and reports whether ctx outlived the delay.
-func (t *Table) wait(ctx context.Context) bool {
-	delay := t.Faults().SlowMillis
-	if delay <= 0 {
+// delay waits for SlowMillis. It reports whether the delay passed before ctx ended.
+func (t *Table) delay(ctx context.Context) bool {
+	d := t.Faults().SlowMillis
+	if d <= 0 {
 		return ctx.Err() == nil
 	}
-	timer := time.NewTimer(delay.Duration())
+	timer := time.NewTimer(d.Duration())
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
