--- a/io/httpd/connection.go
+++ b/io/httpd/connection.go
@@ -17,75 +17,79 @@
 )
 
 const (
-	// readerBytes is the size of a read buffer, unless headers may be larger.
-	readerBytes = 4 << 10
-	// writerBytes is the size of a write buffer.
-	writerBytes = 4 << 10
+	// readBufferBytes is the minimum size of a read buffer. The buffer is as large as
+	// the bound on headers if that is larger, up to 64 KiB.
+	readBufferBytes = 4 << 10
+	// writeBufferBytes is the size of a write buffer.
+	writeBufferBytes = 4 << 10
 )
 
 type (
-	// connection is one caller's connection. One goroutine reads requests, and
-	// another one writes the answers in order.
+	// connection is a connection from a caller. One goroutine reads requests, and
+	// another writes the responses in order.
 	connection struct {
 		server *Server
 		conn   net.Conn
 		reader *bufio.Reader
-		// owed holds the requests that were read, in order.
-		owed chan *exchange
+		// pending passes requests to writeResponses in the order in which they were
+		// read.
+		pending chan *exchange
 
-		// mu guards what follows.
+		// mu guards the following fields.
 		mu sync.Mutex
-		// unanswered counts the requests that were read and not answered.
+		// unanswered is the number of requests that were read but not yet answered.
 		unanswered int
-		// reading is set from the first byte of a request to its last.
+		// reading is set from the first byte of a request until its last.
 		reading bool
-		// finishing is set with the answer that closes the connection, and by
-		// closeIfIdle; no request is taken afterwards.
-		finishing bool
+		// closing is set by the response that closes the connection, by an idle
+		// timeout and by closeIfIdle; no request is accepted afterwards.
+		closing bool
 	}
 
-	// exchange is one request and its answer.
+	// exchange is one request and its response.
 	exchange struct {
-		rc   *fasthttp.RequestCtx
+		rc *fasthttp.RequestCtx
+		// done is closed once the response in rc is complete.
 		done chan struct{}
-		// last says that the connection closes after this answer.
-		last bool
+		// closeAfter is set if the connection closes after this response.
+		closeAfter bool
 	}
 )
 
 var (
-	// continueLine answers a caller that waits before it sends a body.
+	// continueLine is the interim response to a caller that waits for it before it
+	// sends the body.
 	continueLine = []byte("HTTP/1.1 100 Continue\r\n\r\n")
-	// errFinished reports a connection that takes no more requests.
-	errFinished = errors.New("connection takes no more requests")
+	// errClosing reports a connection that accepts no more requests.
+	errClosing = errors.New("connection accepts no more requests")
 )
 
 // newConnection returns the state of an accepted connection.
 func newConnection(s *Server, conn net.Conn) *connection {
-	size := min(max(readerBytes, int(s.Bounds().HeaderBytes)), 1<<16)
+	size := min(max(readBufferBytes, int(s.Bounds().HeaderBytes)), 1<<16)
 	return &connection{
 		server: s, conn: conn, reader: bufio.NewReaderSize(conn, size),
-		owed: make(chan *exchange, s.pipeline()),
+		pending: make(chan *exchange, s.pipeline()),
 	}
 }
 
-// serve reads requests until the connection ends.
+// serve reads requests and starts their handlers until the connection ends.
 func (c *connection) serve() {
-	defer c.server.removed(c)
+	defer c.server.remove(c)
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg conc.WaitGroup
-	wg.Go(func() { c.write(cancel) })
+	wg.Go(func() { c.writeResponses(cancel) })
 	for {
-		ex, err := c.next()
+		ex, err := c.readRequest()
 		if ex == nil {
-			if !errors.Is(err, errFinished) {
-				cancel() // the caller has gone
+			if !errors.Is(err, errClosing) {
+				cancel() // the caller has disconnected
 			}
 			break
 		}
-		c.owed <- ex
-		if ex.last {
-			close(ex.done) // a malformed request has its answer
+		c.pending <- ex
+		if ex.closeAfter {
+			close(ex.done) // the response to a malformed request is already complete
 			break
 		}
 		wg.Go(func() {
@@ -93,22 +97,23 @@
 			close(ex.done)
 		})
 	}
-	close(c.owed)
+	close(c.pending)
 	wg.Wait()
 	cancel()
 	_ = c.conn.Close()
 }
 
-// next reads one request. It returns nil at the end of the connection.
-func (c *connection) next() (*exchange, error) {
-	if err := c.awaitByte(); err != nil {
+// readRequest reads one request. It returns no exchange if the caller has disconnected
+// or the connection accepts no more requests.
+func (c *connection) readRequest() (*exchange, error) {
+	if err := c.awaitRequest(); err != nil {
 		return nil, err
 	}
 	b := c.server.Bounds()
 	ex := &exchange{rc: &fasthttp.RequestCtx{}, done: make(chan struct{})}
 	ex.rc.Init2(c.conn, nil, false)
-	c.deadline(b.HeaderMillis)
-	err := c.skipLines()
+	c.setReadDeadline(b.HeaderMillis)
+	err := c.skipEmptyLines()
 	if err == nil {
 		err = ex.rc.Request.Header.Read(c.reader)
 	}
@@ -116,31 +121,32 @@
 		_, err = c.conn.Write(continueLine)
 	}
 	if err == nil {
-		c.deadline(b.BodyMillis)
+		c.setReadDeadline(b.BodyMillis)
 		err = ex.rc.Request.ContinueReadBody(c.reader, int(b.BodyBytes), false)
 	}
-	if err != nil && c.closedEarly(err) {
+	if err != nil && c.isDisconnect(err) {
 		return nil, err
 	}
-	if !c.taken() {
-		return nil, errFinished
+	if !c.accept() {
+		return nil, errClosing
 	}
 	if err != nil {
 		c.server.Malformed(ex.rc, err)
-		ex.last = true
+		ex.closeAfter = true
 	}
 	return ex, nil
 }
 
-// closedEarly reports whether err is the end of the connection rather than
-// something wrong with a request.
-func (c *connection) closedEarly(err error) bool {
+// isDisconnect reports whether err means that the connection has ended, rather than
+// that a request is malformed.
+func (c *connection) isDisconnect(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) && c.reader.Buffered() == 0 ||
 		errors.Is(err, net.ErrClosed) || isReset(err)
 }
 
-// skipLines drops the empty lines that may precede a request (RFC 9112, 2.2).
-func (c *connection) skipLines() error {
+// skipEmptyLines discards the empty lines that may precede a request (RFC 9112,
+// section 2.2).
+func (c *connection) skipEmptyLines() error {
 	for {
 		b, err := c.reader.Peek(1)
 		if err != nil {
@@ -149,30 +155,30 @@
 		if b[0] != '\r' && b[0] != '\n' {
 			return nil
 		}
-		_, _ = c.reader.Discard(1) // the byte was peeked at
+		_, _ = c.reader.Discard(1) // cannot fail: the byte is buffered
 	}
 }
 
-// awaitByte waits for the first byte of a request. While answers are owed, the
-// connection is not idle, however long they take.
-func (c *connection) awaitByte() error {
+// awaitRequest waits for the first byte of a request. The idle timeout does not apply
+// while a request is unanswered, however long its response takes.
+func (c *connection) awaitRequest() error {
 	for {
-		c.deadline(c.server.Bounds().IdleMillis)
+		c.setReadDeadline(c.server.Bounds().IdleMillis)
 		_, err := c.reader.Peek(1)
 		c.mu.Lock()
 		switch {
-		case err == nil && !c.finishing:
+		case err == nil && !c.closing:
 			c.reading = true
 			c.mu.Unlock()
 			return nil
 		case err == nil:
 			c.mu.Unlock()
-			return errFinished
+			return errClosing
 		}
 		busy := c.unanswered > 0
 		if isTimeout(err) && !busy {
-			c.finishing = true
-			err = errFinished
+			c.closing = true
+			err = errClosing
 		}
 		c.mu.Unlock()
 		if !isTimeout(err) || !busy {
@@ -181,69 +187,69 @@
 	}
 }
 
-// taken counts a request that was read whole; it is false once the connection
-// takes no more.
-func (c *connection) taken() bool {
+// accept counts a request that was read completely. It returns false if the connection
+// accepts no more requests.
+func (c *connection) accept() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reading = false
-	if c.finishing {
+	if c.closing {
 		return false
 	}
 	c.unanswered++
 	return true
 }
 
-// closeIfIdle closes the connection if it owes nothing. A request whose first
-// bytes have arrived is read and answered.
+// closeIfIdle closes the connection if no request is unanswered and none is being
+// read.
 func (c *connection) closeIfIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.unanswered > 0 || c.reading || c.finishing {
+	if c.unanswered > 0 || c.reading || c.closing {
 		return
 	}
-	c.finishing = true
+	c.closing = true
 	_ = c.conn.Close()
 }
 
-// write sends the answers in order. After the one that closes the connection, the
-// requests that were read behind it are not answered.
-func (c *connection) write(cancel context.CancelFunc) {
-	w := bufio.NewWriterSize(c.conn, writerBytes)
-	failed := false
-	for ex := range c.owed {
+// writeResponses writes the responses in order. After the one that closes the
+// connection, it discards the responses to later requests.
+func (c *connection) writeResponses(cancel context.CancelFunc) {
+	w := bufio.NewWriterSize(c.conn, writeBufferBytes)
+	closed := false
+	for ex := range c.pending {
 		<-ex.done
-		if failed {
+		if closed {
 			continue
 		}
-		last := c.finish(ex)
-		if err := c.send(w, ex, last); err != nil || last {
-			failed = true
+		closes := c.complete(ex)
+		if err := c.writeResponse(w, ex, closes); err != nil || closes {
+			closed = true
 			cancel()
 			_ = c.conn.Close()
 		}
 	}
 }
 
-// finish decides whether an answer closes the connection. An answer closes it only
-// if no request was read behind it: its caller would send that one again, although
-// it may run.
-func (c *connection) finish(ex *exchange) bool {
+// complete counts a request as answered and reports whether its response closes the
+// connection. It must not do so if a later request was read, even in part: the caller
+// would retry that request although it may already be running.
+func (c *connection) complete(ex *exchange) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.unanswered--
-	wanted := ex.last || ex.rc.Response.ConnectionClose() || ex.rc.Request.ConnectionClose() || c.server.closing.Load()
-	if !wanted || c.unanswered > 0 || c.reading {
+	requested := ex.closeAfter || ex.rc.Response.ConnectionClose() || ex.rc.Request.ConnectionClose() || c.server.closing.Load()
+	if !requested || c.unanswered > 0 || c.reading {
 		return false
 	}
-	c.finishing = true
+	c.closing = true
 	return true
 }
 
-// send writes one answer. It is flushed unless the next one is ready as well.
-func (c *connection) send(w *bufio.Writer, ex *exchange, last bool) error {
+// writeResponse writes one response and flushes it.
+func (c *connection) writeResponse(w *bufio.Writer, ex *exchange, closes bool) error {
 	resp := &ex.rc.Response
-	if last {
+	if closes {
 		resp.SetConnectionClose()
 	} else {
 		resp.Header.ResetConnectionClose()
@@ -253,7 +259,7 @@
 	}
 	resp.SkipBody = resp.SkipBody || ex.rc.IsHead()
 	if d := c.server.Bounds().BodyMillis; d > 0 {
-		_ = c.conn.SetWriteDeadline(time.Now().Add(d.Duration())) // the write reports a closed connection
+		_ = c.conn.SetWriteDeadline(time.Now().Add(d.Duration())) // on a closed connection the write fails
 	}
 	if err := resp.Write(w); err != nil {
 		return err
@@ -261,22 +267,22 @@
 	return w.Flush()
 }
 
-// deadline bounds the next reads.
-func (c *connection) deadline(d clock.Millis) {
+// setReadDeadline sets the deadline of the next reads to d from now; 0 means none.
+func (c *connection) setReadDeadline(d clock.Millis) {
 	var at time.Time
 	if d > 0 {
 		at = time.Now().Add(d.Duration())
 	}
-	_ = c.conn.SetReadDeadline(at) // the read reports a closed connection
+	_ = c.conn.SetReadDeadline(at) // on a closed connection the read fails
 }
 
-// isTimeout reports whether a read reached its deadline.
+// isTimeout reports whether err means that a read exceeded its deadline.
 func isTimeout(err error) bool {
 	var e net.Error
 	return errors.As(err, &e) && e.Timeout()
 }
 
-// isReset reports whether the peer reset the connection.
+// isReset reports whether err means that the peer reset the connection.
 func isReset(err error) bool {
 	return errors.Is(err, syscall.ECONNRESET)
 }
--- a/io/httpd/server.go
+++ b/io/httpd/server.go
@@ -1,6 +1,7 @@
-// Package httpd provides the HTTP/1.1 server of the data path. It reads requests
-// ahead of their answers, answers in order, and ends a request's context when its
-// caller closes the connection. The parser is that of fasthttp.
+// Package httpd provides the HTTP/1.1 server of the data path. It supports pipelining:
+// it runs the requests of a connection concurrently and writes their responses in
+// order. It cancels a request's context when its caller closes the connection. fasthttp
+// parses the requests.
 package httpd
 
 import (
@@ -19,21 +20,20 @@
 )
 
 const (
-	// DefaultPipeline is the number of requests that are read ahead on one
-	// connection.
+	// DefaultPipeline is used if Server.Pipeline is 0.
 	DefaultPipeline = 16
-	// acceptPause is the pause after a failed accept, for example without
-	// descriptors.
-	acceptPause = 5 * time.Millisecond
+	// retryInterval is the delay after a failed accept, for example if there are no
+	// free file descriptors, and between the checks of Close.
+	retryInterval = 5 * time.Millisecond
 )
 
 type (
-	// Bounds limits what callers send. A zero time sets no bound.
+	// Bounds limits what callers send. A time of 0 means no limit.
 	Bounds struct {
 		HeaderBytes ident.Bytes
 		BodyBytes   ident.Bytes
-		// HeaderMillis bounds the arrival of a header, and BodyMillis that of a
-		// body and the writing of an answer.
+		// HeaderMillis bounds the read of a header, and BodyMillis the read of a body
+		// and the write of a response.
 		HeaderMillis clock.Millis
 		BodyMillis   clock.Millis
 		// IdleMillis is how long a connection without a request stays open.
@@ -43,35 +43,36 @@
 	// Server is an HTTP server on one listener. Set the exported fields before
 	// Serve.
 	Server struct {
-		// Handler answers one request. It runs in a goroutine of its own for each
+		// Handler handles one request. It runs in a separate goroutine for each
 		// request; ctx ends when the caller closes the connection.
 		Handler func(ctx context.Context, rc *fasthttp.RequestCtx)
-		// Malformed answers a request that could not be read; the connection
-		// closes afterwards.
+		// Malformed sets the response to a request that could not be read; the
+		// connection closes afterwards.
 		Malformed func(rc *fasthttp.RequestCtx, err error)
 		// Bounds returns the bounds for the next request.
 		Bounds func() Bounds
-		// Pipeline bounds the requests that are read ahead; 0 means the default.
+		// Pipeline bounds the requests that are read ahead of their responses on one
+		// connection; 0 means DefaultPipeline.
 		Pipeline int
 
-		// closing makes each connection close after the answers that it owes.
+		// closing makes each connection close once all its requests are answered.
 		closing atomic.Bool
 		group   conc.WaitGroup
 
-		// mu guards what follows.
-		mu       sync.Mutex
-		listener net.Listener
-		open     map[*connection]struct{}
+		// mu guards the following fields.
+		mu          sync.Mutex
+		listener    net.Listener
+		connections map[*connection]struct{}
 	}
 )
 
-// Serve serves connections until the listener is closed. It returns nil after
-// Close.
+// Serve accepts and serves connections until the listener is closed, and then returns
+// nil.
 func (s *Server) Serve(l net.Listener) error {
 	s.mu.Lock()
 	s.listener = l
-	if s.open == nil {
-		s.open = make(map[*connection]struct{})
+	if s.connections == nil {
+		s.connections = make(map[*connection]struct{})
 	}
 	s.mu.Unlock()
 	for {
@@ -80,12 +81,12 @@
 		case errors.Is(err, net.ErrClosed):
 			return nil
 		case err != nil:
-			time.Sleep(acceptPause)
+			time.Sleep(retryInterval)
 			continue
 		}
 		c := newConnection(s, conn)
 		s.mu.Lock()
-		s.open[c] = struct{}{}
+		s.connections[c] = struct{}{}
 		s.mu.Unlock()
 		s.group.Go(c.serve)
 	}
@@ -95,27 +96,26 @@
 func (s *Server) OpenConnections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.open)
+	return len(s.connections)
 }
 
-// BeginClose makes every connection close once it owes no answer. New connections
-// get one answer each.
+// BeginClose makes every connection close once all its requests are answered. New
+// connections close after one response.
 func (s *Server) BeginClose() {
 	s.closing.Store(true)
 }
 
-// CloseIdle closes the connections that owe no answer and have no bytes of a
-// request.
+// CloseIdle closes the connections on which no request is unanswered or being read.
 func (s *Server) CloseIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c := range s.open {
+	for c := range s.connections {
 		c.closeIfIdle()
 	}
 }
 
-// Close closes the listener and every idle connection, and waits until the others
-// have sent their answers or ctx ends; those that are left are then closed.
+// Close closes the listener and all idle connections. It waits until the requests on
+// the other connections are answered or ctx ends, and then closes the rest.
 func (s *Server) Close(ctx context.Context) error {
 	s.BeginClose()
 	s.mu.Lock()
@@ -126,7 +126,7 @@
 			return err
 		}
 	}
-	t := time.NewTicker(acceptPause)
+	t := time.NewTicker(retryInterval)
 	defer t.Stop()
 	for s.OpenConnections() > 0 {
 		s.CloseIdle()
@@ -146,19 +146,19 @@
 func (s *Server) closeAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c := range s.open {
+	for c := range s.connections {
 		_ = c.conn.Close()
 	}
 }
 
-// removed forgets a connection.
-func (s *Server) removed(c *connection) {
+// remove removes a closed connection from connections.
+func (s *Server) remove(c *connection) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.open, c)
+	delete(s.connections, c)
 }
 
-// pipeline returns the bound of requests that are read ahead.
+// pipeline returns the effective value of Pipeline.
 func (s *Server) pipeline() int {
 	if s.Pipeline > 0 {
 		return s.Pipeline
--- a/io/httpd/server_test.go
+++ b/io/httpd/server_test.go
@@ -16,16 +16,16 @@
 	"hickoryrail/core/clock"
 )
 
-// patience bounds a wait for something that must happen.
-const patience = 5 * time.Second
+// testTimeout bounds each wait of the tests.
+const testTimeout = 5 * time.Second
 
-// fixture is a server on a loopback address.
+// fixture is a server that listens on a loopback address.
 type fixture struct {
 	*Server
 	address string
 }
 
-// start serves with a handler; it stops with the test.
+// start starts a server with the given handler and closes it at the end of the test.
 func start(t *testing.T, handler func(ctx context.Context, rc *fasthttp.RequestCtx)) *fixture {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -42,7 +42,7 @@
 	done := make(chan error, 1)
 	go func() { done <- f.Serve(l) }()
 	t.Cleanup(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		if err := f.Close(ctx); err != nil {
 			t.Error(err)
@@ -54,7 +54,7 @@
 	return f
 }
 
-// dial opens a connection that ends with the test.
+// dial opens a connection and closes it at the end of the test.
 func (f *fixture) dial(t *testing.T) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c, err := net.Dial("tcp", f.address)
@@ -62,19 +62,19 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
-	if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	return c, bufio.NewReader(c)
 }
 
-// get returns a request for a path.
+// get returns a GET request for a path.
 func get(path string) string {
 	return "GET " + path + " HTTP/1.1\r\nHost: h\r\n\r\n"
 }
 
-// body reads one answer and returns its body.
-func body(t *testing.T, b *bufio.Reader) (string, *http.Response) {
+// readResponse reads one response and returns it with its body.
+func readResponse(t *testing.T, b *bufio.Reader) (string, *http.Response) {
 	t.Helper()
 	resp, err := http.ReadResponse(b, nil)
 	if err != nil {
@@ -88,14 +88,14 @@
 	return string(text), resp
 }
 
-// TestPipeline guards against requests that wait for the one before, and against
-// answers out of order.
+// TestPipeline guards against requests that wait for the previous one, and against
+// responses that are out of order.
 func TestPipeline(t *testing.T) {
 	is := is.New(t)
 	second := make(chan struct{})
 	f := start(t, func(_ context.Context, rc *fasthttp.RequestCtx) {
 		if string(rc.Path()) == "/1" {
-			<-second // answered only once the request behind it runs
+			<-second // responds only once the next request runs
 		} else {
 			close(second)
 		}
@@ -105,13 +105,13 @@
 	_, err := io.WriteString(c, get("/1")+get("/2"))
 	is.NoErr(err)
 	for _, want := range []string{"/1", "/2"} {
-		got, _ := body(t, b)
+		got, _ := readResponse(t, b)
 		is.Equal(got, want)
 	}
 }
 
-// TestCallerLeaves guards against work that goes on for a caller who has closed
-// the connection.
+// TestCallerLeaves guards against a handler that continues after its caller has
+// closed the connection.
 func TestCallerLeaves(t *testing.T) {
 	is := is.New(t)
 	entered, left := make(chan struct{}), make(chan struct{})
@@ -127,14 +127,14 @@
 	is.NoErr(c.Close())
 	select {
 	case <-left:
-	case <-time.After(patience):
-		t.Fatal("handler was not told")
+	case <-time.After(testTimeout):
+		t.Fatal("the context of the handler did not end")
 	}
 }
 
-// TestCloseBehindLast guards against an answer that closes the connection while a
-// request behind it runs: its caller would take that one for unread and send it
-// again.
+// TestCloseBehindLast guards against a response that closes the connection while a
+// later pipelined request runs: the caller would assume that this request was not read
+// and send it again.
 func TestCloseBehindLast(t *testing.T) {
 	is := is.New(t)
 	entered, release := make(chan struct{}, 2), make(chan struct{})
@@ -150,17 +150,17 @@
 	<-entered
 	f.BeginClose()
 	close(release)
-	got, resp := body(t, b)
+	got, resp := readResponse(t, b)
 	is.Equal(got, "/1")
 	is.True(!resp.Close)
-	got, resp = body(t, b)
+	got, resp = readResponse(t, b)
 	is.Equal(got, "/2")
 	is.True(resp.Close)
 	_, err = b.ReadByte()
 	is.Equal(err, io.EOF)
 }
 
-// TestCloseFinishesRequests guards against a stop that cuts a request in flight or
+// TestCloseFinishesRequests guards against a Close that aborts a request in flight or
 // leaves an idle connection open.
 func TestCloseFinishesRequests(t *testing.T) {
 	is := is.New(t)
@@ -176,20 +176,20 @@
 	<-entered
 	closed := make(chan error, 1)
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		closed <- f.Close(ctx)
 	}()
 	_, err = idle.ReadByte()
 	is.Equal(err, io.EOF)
 	close(release)
-	_, resp := body(t, b)
+	_, resp := readResponse(t, b)
 	is.Equal(resp.StatusCode, http.StatusOK)
 	is.NoErr(<-closed)
 }
 
-// TestMalformed guards against a malformed request without an answer, and against
-// the use of its connection afterwards.
+// TestMalformed guards against a malformed request that gets no response, and against
+// further use of its connection.
 func TestMalformed(t *testing.T) {
 	is := is.New(t)
 	f := start(t, func(context.Context, *fasthttp.RequestCtx) {})
@@ -201,22 +201,22 @@
 		c, b := f.dial(t)
 		_, err := io.WriteString(c, request)
 		is.NoErr(err)
-		_, resp := body(t, b)
+		_, resp := readResponse(t, b)
 		is.Equal(resp.StatusCode, http.StatusBadRequest)
 		_, err = b.ReadByte()
 		is.True(err != nil)
 	}
 }
 
-// TestChunkedAndContinue guards against bodies that are cut, or that wait for a
-// line that never comes.
+// TestChunkedAndContinue guards against a chunked body that is truncated, and against a
+// missing 100 Continue response.
 func TestChunkedAndContinue(t *testing.T) {
 	is := is.New(t)
 	f := start(t, func(_ context.Context, rc *fasthttp.RequestCtx) { rc.SetBody(rc.PostBody()) })
 	c, b := f.dial(t)
 	_, err := io.WriteString(c, "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
 	is.NoErr(err)
-	got, _ := body(t, b)
+	got, _ := readResponse(t, b)
 	is.Equal(got, "abcde")
 	_, err = io.WriteString(c, "POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
 	is.NoErr(err)
@@ -227,19 +227,19 @@
 	is.NoErr(err)
 	_, err = io.WriteString(c, "xy")
 	is.NoErr(err)
-	got, _ = body(t, b)
+	got, _ = readResponse(t, b)
 	is.Equal(got, "xy")
 }
 
-// TestIdle guards against connections that stay open for ever, and against a slow
-// answer that counts as idleness.
+// TestIdle guards against idle connections that are never closed, and against an idle
+// timeout while a request is handled.
 func TestIdle(t *testing.T) {
 	is := is.New(t)
 	f := start(t, func(context.Context, *fasthttp.RequestCtx) { time.Sleep(1500 * time.Millisecond) })
 	c, b := f.dial(t)
 	_, err := io.WriteString(c, get("/"))
 	is.NoErr(err)
-	_, resp := body(t, b)
+	_, resp := readResponse(t, b)
 	is.Equal(resp.StatusCode, http.StatusOK)
 	_, err = b.ReadByte()
 	is.Equal(err, io.EOF)
--- a/io/keys/authority.go
+++ b/io/keys/authority.go
@@ -21,36 +21,39 @@
 )
 
 const (
-	// AuthorityCertificate is the file with the authority's certificate; every
-	// node has it.
+	// AuthorityCertificate is the file with the authority's certificate; it is
+	// installed on every node.
 	AuthorityCertificate = "authority.crt"
-	// AuthorityKey is the file with the authority's private key; no node has it.
+	// AuthorityKey is the file with the authority's private key; it must not be
+	// installed on any node.
 	AuthorityKey = "authority.key"
 
-	// authorityYears and nodeYears are the validity of certificates.
+	// authorityYears and nodeYears are the validity periods of the certificates.
 	authorityYears = 10
 	nodeYears      = 2
-	// clockMargin predates certificates, because servers' clocks differ by seconds.
+	// clockMargin is how far the start of a certificate's validity lies in the past,
+	// because the clocks of servers differ by seconds.
 	clockMargin = time.Hour
-	// maxNodeID is the longest name that a certificate's common name can carry.
-	maxNodeID = 64
+	// maxNodeIDBytes is the maximum length of a certificate's common name.
+	maxNodeIDBytes = 64
 
-	// secretMode and publicMode are the modes of files with and without secrets.
+	// secretMode and publicMode are the permissions of files with and without secrets.
 	secretMode = 0o600
 	publicMode = 0o644
-	// directoryMode is the mode of the key directory.
+	// directoryMode is the permission of the key directory.
 	directoryMode = 0o700
 )
 
 // Authority signs the certificates of one fleet.
 type Authority struct {
-	// Directory is where the authority's files are and node files are written.
+	// Directory contains the authority's files; CreateNode writes the files of nodes
+	// to it.
 	Directory   string
 	certificate *x509.Certificate
 	key         ed25519.PrivateKey
 }
 
-// nodeName matches the node ids that are valid as a name in a certificate.
+// nodeName matches the node ids that are valid names in a certificate.
 var nodeName = regexp.MustCompile(`^[A-Za-z0-9_][A-Za-z0-9_-]*(\.[A-Za-z0-9_][A-Za-z0-9_-]*)*$`)
 
 // CreateFleet creates a key directory: an authority, an operator credential and a
@@ -72,8 +75,9 @@
 	return a, nil
 }
 
-// CreateAuthority creates an authority in directory. It returns an error if there
-// is one already, because a new one would lock out every existing node.
+// CreateAuthority creates an authority in directory. It returns an error if one
+// already exists, because a new authority would invalidate the certificates of all
+// existing nodes.
 func CreateAuthority(directory string) (*Authority, error) {
 	if err := os.MkdirAll(directory, directoryMode); err != nil {
 		return nil, fmt.Errorf("create key directory: %w", err)
@@ -116,7 +120,7 @@
 }
 
 // CreateNode writes the private key and the certificate of a node. It returns an
-// error for an id that cannot stand in a certificate and for existing files.
+// error if the id is not valid in a certificate or if a file already exists.
 func (a *Authority) CreateNode(n ident.NodeID) error {
 	if err := CheckNodeID(n); err != nil {
 		return err
@@ -133,27 +137,29 @@
 	if err != nil {
 		return fmt.Errorf("create certificate of node %s: %w", n, err)
 	}
-	if err := writeKey(nodeFile(a.Directory, n, ".key"), private); err != nil {
+	if err := writeKey(nodePath(a.Directory, n, ".key"), private); err != nil {
 		return err
 	}
-	return writePEM(nodeFile(a.Directory, n, ".crt"), "CERTIFICATE", der, publicMode)
+	return writePEM(nodePath(a.Directory, n, ".crt"), "CERTIFICATE", der, publicMode)
 }
 
-// CheckNodeID returns an error unless n can be the identity in a certificate: a
-// host name in form, and no IP address, which verifiers would treat differently.
+// CheckNodeID returns an error unless n is valid as the identity in a certificate: it
+// must have the form of a host name and must not be an IP address, which verifiers
+// treat differently.
 func CheckNodeID(n ident.NodeID) error {
-	if len(n) > maxNodeID || !nodeName.MatchString(string(n)) || net.ParseIP(string(n)) != nil {
-		return fmt.Errorf("node id %q: allowed are up to %d letters, digits, '-', '_' and inner '.', and no IP address", n, maxNodeID)
+	if len(n) > maxNodeIDBytes || !nodeName.MatchString(string(n)) || net.ParseIP(string(n)) != nil {
+		return fmt.Errorf("node id %q: allowed are up to %d letters, digits, '-', '_' and inner '.', and no IP address", n, maxNodeIDBytes)
 	}
 	return nil
 }
 
-// nodeFile returns the path of a file of node n.
-func nodeFile(directory string, n ident.NodeID, suffix string) string {
+// nodePath returns the path of the file of node n with the given suffix.
+func nodePath(directory string, n ident.NodeID, suffix string) string {
 	return filepath.Join(directory, "node-"+string(n)+suffix)
 }
 
-// certificateTemplate returns a template that is valid for some years from now.
+// certificateTemplate returns a template whose validity ends the given number of years
+// from now.
 func certificateTemplate(name string, years int) *x509.Certificate {
 	now := time.Now()
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 127))
@@ -169,7 +175,7 @@
 	}
 }
 
-// writeKey writes a private key.
+// writeKey writes a private key to a new file.
 func writeKey(path string, key ed25519.PrivateKey) error {
 	der, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
@@ -178,7 +184,7 @@
 	return writePEM(path, "PRIVATE KEY", der, secretMode)
 }
 
-// readKey reads a private key.
+// readKey reads an Ed25519 private key.
 func readKey(path string) (ed25519.PrivateKey, error) {
 	der, err := readPEM(path, "PRIVATE KEY")
 	if err != nil {
@@ -200,7 +206,8 @@
 	return writeNew(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), mode)
 }
 
-// writeNew writes a file that must not exist yet, with the mode from the start.
+// writeNew creates a file that has the given permissions from the start and writes
+// body. It returns an error if the file already exists.
 func writeNew(path string, body []byte, mode os.FileMode) error {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, mode)
 	if err != nil {
@@ -210,7 +217,7 @@
 	return errors.Join(err, f.Close())
 }
 
-// readPEM reads the first PEM block, which must be of the given kind.
+// readPEM reads the first PEM block of a file, which must be of the given kind.
 func readPEM(path, kind string) ([]byte, error) {
 	body, err := os.ReadFile(path)
 	if err != nil {
--- a/io/keys/identity.go
+++ b/io/keys/identity.go
@@ -15,15 +15,15 @@
 type Identity struct {
 	Node        ident.NodeID
 	Certificate tls.Certificate
-	// Authority holds the fleet's own authority and no other.
+	// Authority contains only the fleet's own authority.
 	Authority *x509.CertPool
 }
 
 // errNoNode reports a certificate that does not name exactly one node.
 var errNoNode = errors.New("certificate does not name exactly one node")
 
-// LoadIdentity loads the identity of node n. It returns an error if the
-// certificate is for another node or from another authority.
+// LoadIdentity loads the identity of node n. It returns an error if the certificate
+// was issued for another node or by another authority.
 func LoadIdentity(directory string, n ident.NodeID) (Identity, error) {
 	if err := CheckNodeID(n); err != nil {
 		return Identity{}, err
@@ -32,12 +32,12 @@
 	if err != nil {
 		return Identity{}, err
 	}
-	certificate, err := tls.LoadX509KeyPair(nodeFile(directory, n, ".crt"), nodeFile(directory, n, ".key"))
+	certificate, err := tls.LoadX509KeyPair(nodePath(directory, n, ".crt"), nodePath(directory, n, ".key"))
 	if err != nil {
 		return Identity{}, fmt.Errorf("load certificate of node %s: %w", n, err)
 	}
-	if named, err := NodeOf(certificate.Leaf); err != nil || named != n {
-		return Identity{}, fmt.Errorf("certificate of node %s: names %q: %w", n, named, errNoNode)
+	if certified, err := NodeOf(certificate.Leaf); err != nil || certified != n {
+		return Identity{}, fmt.Errorf("certificate of node %s: names %q: %w", n, certified, errNoNode)
 	}
 	options := x509.VerifyOptions{Roots: pool, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}}
 	if _, err := certificate.Leaf.Verify(options); err != nil {
@@ -46,7 +46,7 @@
 	return Identity{Node: n, Certificate: certificate, Authority: pool}, nil
 }
 
-// LoadAuthority returns a pool with the fleet's own authority.
+// LoadAuthority returns a pool that contains only the fleet's own authority.
 func LoadAuthority(directory string) (*x509.CertPool, error) {
 	body, err := os.ReadFile(filepath.Join(directory, AuthorityCertificate))
 	if err != nil {
--- a/io/keys/keys_test.go
+++ b/io/keys/keys_test.go
@@ -10,8 +10,8 @@
 	"hickoryrail/core/ident"
 )
 
-// TestFleetFiles guards against secrets that others can read, and against a
-// second authority that would replace the first.
+// TestFleetFiles guards against secrets that other users can read, and against a
+// second authority that replaces the first.
 func TestFleetFiles(t *testing.T) {
 	is := is.New(t)
 	directory := filepath.Join(t.TempDir(), "keys")
@@ -32,11 +32,11 @@
 	is.True(Matches(digest, token))
 	is.True(!Matches(digest, token+"x"))
 	_, err = CreateFleet(directory, nil)
-	is.True(err != nil) // an existing authority must stay
+	is.True(err != nil) // the existing authority must not be replaced
 }
 
-// TestForeignIdentity guards against a node that starts with a certificate of
-// another node or another authority.
+// TestForeignIdentity guards against a node that starts with the certificate of
+// another node or from another authority.
 func TestForeignIdentity(t *testing.T) {
 	is := is.New(t)
 	own, other := t.TempDir(), t.TempDir()
@@ -45,8 +45,8 @@
 	_, err = CreateFleet(other, []ident.NodeID{"a", "b"})
 	is.NoErr(err)
 	for _, suffix := range []string{".key", ".crt"} {
-		is.NoErr(os.Rename(nodeFile(other, "b", suffix), nodeFile(own, "b", suffix)))
-		is.NoErr(os.Rename(nodeFile(own, "a", suffix), nodeFile(own, "c", suffix)))
+		is.NoErr(os.Rename(nodePath(other, "b", suffix), nodePath(own, "b", suffix)))
+		is.NoErr(os.Rename(nodePath(own, "a", suffix), nodePath(own, "c", suffix)))
 	}
 	_, err = LoadIdentity(own, "b")
 	is.True(err != nil) // other authority
--- a/io/keys/operator.go
+++ b/io/keys/operator.go
@@ -14,8 +14,8 @@
 const (
 	// OperatorToken is the file with the operators' bearer token.
 	OperatorToken = "operator.token"
-	// OperatorDigest is the file with the token's SHA-256 digest; nodes have it
-	// instead of the token.
+	// OperatorDigest is the file with the token's SHA-256 digest, which is installed
+	// on nodes instead of the token.
 	OperatorDigest = "operator.sha256"
 )
 
@@ -51,8 +51,8 @@
 	return d, nil
 }
 
-// Matches reports whether token has the digest d. It takes the same time for
-// every wrong token.
+// Matches reports whether d is the digest of token. The digests are compared in
+// constant time.
 func Matches(d ident.Digest, token string) bool {
 	sum := ident.Sum([]byte(token))
 	return subtle.ConstantTimeCompare(sum[:], d[:]) == 1
--- a/io/logs/decision.go
+++ b/io/logs/decision.go
@@ -1,5 +1,5 @@
-// Package logs provides the structured log of a node and its log of routing and
-// placement decisions.
+// Package logs provides the structured log of a node and its log of routing, placement
+// and membership decisions.
 package logs
 
 import (
@@ -11,30 +11,32 @@
 const (
 	// Route is the choice of a target for an attempt.
 	Route Kind = iota
-	// Admit is the start, queueing or refusal of a request at a gate.
+	// Admit is the start, queueing or rejection of a request at a gate.
 	Admit
-	// Retry is the decision whether and when to attempt again.
+	// Retry is the decision whether and when to make another attempt.
 	Retry
-	// Eject is the exclusion or return of a target.
+	// Eject is the ejection of a target or its return.
 	Eject
 	// Member is a change of a node's or target's state.
 	Member
-	// Release is a release that was put in force, refused or held back.
+	// Release is a release that was put in force or refused, or a change of the
+	// source's availability.
 	Release
-	// Lease is a lease that was taken, lost or left.
+	// Lease is a lease that was acquired or lost, or the version floor that a node
+	// determined at its start.
 	Lease
-	// Answer is what a caller got.
+	// Answer is the response to a caller.
 	Answer
-	// Omitted says that lines were left out.
+	// Omitted reports the number of lines that were omitted from the log.
 	Omitted
 )
 
 type (
-	// Kind says what was decided.
+	// Kind is the kind of a decision.
 	Kind uint8
 
-	// Decision is one line of the decision log. It is a plain value, so that
-	// recording it allocates nothing; Reason is a constant string.
+	// Decision is one line of the decision log. It is passed by value, and Reason is a
+	// constant string, so that recording it allocates nothing.
 	Decision struct {
 		At      clock.Millis
 		Kind    Kind
@@ -48,28 +50,28 @@
 		Attempt int
 		// Status is the HTTP status of an Answer.
 		Status int
-		// Count is the number of lines that an Omitted stands for.
+		// Count is the number of omitted lines, if Kind is Omitted.
 		Count  int
 		Reason string
-		// Wait is the time in a queue, and Took the time at the target, of a call
-		// that has ended.
+		// Wait is the time in a queue and Took the time at the target. They are set
+		// for a completed call.
 		Wait, Took clock.Millis
-		// Free and Queued are the gate's load that a decision was based on, if
-		// HasLoad.
+		// Free and Queued are the gate's load on which a decision was based. They are
+		// valid if HasLoad is set.
 		HasLoad      bool
 		Free, Queued int
 	}
 
-	// Sink takes decisions. Record is safe for concurrent use.
+	// Sink records decisions. Record is safe for concurrent use.
 	Sink interface {
 		Record(d Decision)
 	}
 
-	// Discard is a Sink that drops everything.
+	// Discard is a Sink that discards all decisions.
 	Discard struct{}
 )
 
-// kindNames holds the text form of each kind.
+// kindNames contains the name of each kind.
 var kindNames = [...]string{"Route", "Admit", "Retry", "Eject", "Member", "Release", "Lease", "Answer", "Omitted"}
 
 // String returns the kind's name.
@@ -77,5 +79,5 @@
 	return kindNames[min(int(k), len(kindNames)-1)]
 }
 
-// Record drops d.
+// Record discards d.
 func (Discard) Record(Decision) {}
--- a/io/logs/filter.go
+++ b/io/logs/filter.go
@@ -8,25 +8,26 @@
 const (
 	// All passes every decision.
 	All Filter = iota
-	// Problems passes decisions that something went wrong or changed.
+	// Problems passes only the decisions that need an operator's attention; see
+	// Decision.Problem.
 	Problems
 	// Off passes nothing.
 	Off
 )
 
-// failureStatus is the least status of an answer that reports a failure.
+// failureStatus is the lowest HTTP status that reports a failure.
 const failureStatus = 500
 
 // FilterNames lists the names of all filters, for messages.
 const FilterNames = "all, problems, off"
 
-// Filter says which decisions are logged.
+// Filter selects the decisions that are logged.
 type Filter uint8
 
-// filterNames holds the text form of each filter.
+// filterNames contains the name of each filter.
 var filterNames = [...]string{"all", "problems", "off"}
 
-// ParseFilter returns the filter with that name.
+// ParseFilter returns the filter with the given name and whether there is one.
 func ParseFilter(text string) (Filter, bool) {
 	for i, name := range filterNames {
 		if name == text {
@@ -41,21 +42,21 @@
 	return filterNames[min(int(f), len(filterNames)-1)]
 }
 
-// Passes reports whether the filter lets d through.
+// Passes reports whether d is logged with this filter.
 func (f Filter) Passes(d *Decision) bool {
 	return f == All || f == Problems && d.Problem()
 }
 
-// Problem reports whether d needs an operator's attention: a refusal, a repeated
-// attempt, an ejection, or a change of a member, release or lease. A choice of a
-// target or a start at a gate has no verdict yet, so MayHaveRun, the zero
-// verdict, does not count for those kinds.
+// Problem reports whether d needs an operator's attention: a rejection, a retry, an
+// ejection, or a change of a member, release or lease. The choice of a target or the
+// start of a request at a gate has no verdict yet, so MayHaveRun, the zero verdict, is
+// not a problem for these kinds.
 func (d *Decision) Problem() bool {
 	switch {
 	case d.Kind == Answer:
 		return d.Verdict != result.Ran || d.Status >= failureStatus
 	case d.Reason == admit.ReasonNoFreeSlot:
-		return false // the call goes on looking at other targets
+		return false // the call tries other targets
 	}
 	return d.Kind >= Retry || d.Verdict == result.NotRun
 }
--- a/io/logs/logger.go
+++ b/io/logs/logger.go
@@ -7,8 +7,8 @@
 	"github.com/apex/log/handlers/json"
 )
 
-// New returns a logger that writes one JSON object a line to w. It drops lines
-// below level and is safe for concurrent use.
+// New returns a logger that writes one JSON object per line to w and discards lines
+// below level. It is safe for concurrent use.
 func New(w io.Writer, level log.Level) *log.Logger {
 	return &log.Logger{Handler: json.New(w), Level: level}
 }
--- a/io/logs/record.go
+++ b/io/logs/record.go
@@ -13,53 +13,55 @@
 )
 
 const (
-	// maxBatch bounds the decisions that the writer copies out of the ring at once.
+	// maxBatch bounds the decisions that Run takes from the ring at once.
 	maxBatch = 256
-	// reasonOmitted is the reason for lines that were left out.
+	// reasonOmitted is the reason of the line that reports omitted lines.
 	reasonOmitted = "log is bounded; lines were left out"
 )
 
-// DecisionLog is a Sink that writes each decision as one structured line. Record
-// copies the decision into a ring; Run writes from it. No line is lost: Record
-// waits while the ring is full, and writes directly once Run has ended.
+// DecisionLog is a Sink that writes each decision as one structured line. Record copies
+// the decision into a ring buffer, from which Run writes it. Unless PerSecond is set, no
+// line is lost: Record waits while the ring is full, and writes the line itself once Run
+// has ended.
 type DecisionLog struct {
-	// PerSecond, if above 0, bounds the lines of a second. Record then never waits:
-	// lines beyond it, and lines that find the ring full, are counted, and one
-	// line tells how many were left out. Set it before Run.
+	// PerSecond, if above 0, bounds the lines per second. Record then never waits: it
+	// omits lines above the bound and lines for which the ring has no room, and a later
+	// line reports how many were omitted. Set it before Run.
 	PerSecond int
 
 	filter Filter
 	logger *log.Logger
 
 	mu sync.Mutex
-	// notEmpty and notFull are conditions on count and stopped under mu.
+	// notEmpty and notFull signal changes of count, stopping and stopped. They use mu.
 	notEmpty sync.Cond
 	notFull  sync.Cond
-	// ring holds count decisions from index head on, in order of Record.
+	// ring holds count decisions from index head on, in the order of the calls of
+	// Record.
 	ring  []Decision
 	head  int
 	count int
-	// waiting is true while Run waits for a decision.
+	// waiting is true if Run waits for a decision and no Record has signaled it yet.
 	waiting bool
 	// stopping is true once the context of Run has ended.
 	stopping bool
-	// stopped is true once Run has emptied the ring for the last time.
+	// stopped is true once the context of Run has ended and the ring is empty.
 	stopped bool
-	// second and inSecond count the lines of the present second, and omitted
-	// those that were left out since the last line that told of them.
-	second   int64
-	inSecond int
-	omitted  int
-	// dropped counts all lines that were left out.
-	dropped uint64
-	// recorded and waits count the decisions that passed the filter and those of
-	// them that found the ring full.
+	// inSecond is the number of lines in the current second, which is second.
+	// unreported is the number of omitted lines that no line has reported yet.
+	second     int64
+	inSecond   int
+	unreported int
+	// omitted is the number of all omitted lines.
+	omitted uint64
+	// recorded is the number of decisions that were logged, and waits the number of
+	// those that waited because the ring was full.
 	recorded, waits uint64
 }
 
-// NewDecisionLog returns a log with a ring of capacity decisions, at least one,
-// which writes the decisions that pass filter through the handler of logger. The
-// level of logger does not count; filter alone decides.
+// NewDecisionLog returns a log with a ring for capacity decisions, at least one. It
+// writes the decisions that pass filter through the handler of logger, whatever the
+// level of logger is.
 func NewDecisionLog(logger *log.Logger, filter Filter, capacity int) *DecisionLog {
 	l := &DecisionLog{
 		filter: filter,
@@ -80,20 +82,20 @@
 		})
 	}
 	return errors.Join(
-		r.Register(count("decisions_omitted_total", "Decisions that were left out of the log.", &l.dropped)),
+		r.Register(count("decisions_omitted_total", "Decisions that were left out of the log.", &l.omitted)),
 		r.Register(count("decisions_total", "Decisions that were logged.", &l.recorded)),
 		r.Register(count("decision_waits_total", "Decisions that waited because the log's ring was full.", &l.waits)),
 	)
 }
 
-// Record copies d into the ring. It waits while the ring is full, so Run must be
-// running before more decisions than fit are recorded.
+// Record copies d into the ring. It waits while the ring is full, so Run must be running
+// before more decisions than the capacity are recorded.
 func (l *DecisionLog) Record(d Decision) {
 	if !l.filter.Passes(&d) {
 		return
 	}
 	l.mu.Lock()
-	if l.PerSecond > 0 && !l.admit(&d) {
+	if l.PerSecond > 0 && !l.allow(&d) {
 		l.mu.Unlock()
 		return
 	}
@@ -109,7 +111,7 @@
 		l.write(&d)
 		return
 	}
-	l.put(d)
+	l.push(d)
 	wake := l.waiting
 	l.waiting = false
 	l.mu.Unlock()
@@ -118,8 +120,8 @@
 	}
 }
 
-// put adds a decision to the ring, which is not full. The caller holds mu.
-func (l *DecisionLog) put(d Decision) {
+// push adds a decision to the ring, which must not be full. The caller holds mu.
+func (l *DecisionLog) push(d Decision) {
 	i := l.head + l.count
 	if i >= len(l.ring) {
 		i -= len(l.ring)
@@ -129,33 +131,33 @@
 	l.recorded++
 }
 
-// admit reports whether a line is within the bound, and tells of those that were
-// left out before it. The caller holds mu.
-func (l *DecisionLog) admit(d *Decision) bool {
+// allow reports whether a line is within the bound. If so, and unless Run has ended, it
+// first adds a line that reports the lines omitted before. The caller holds mu.
+func (l *DecisionLog) allow(d *Decision) bool {
 	if second := int64(d.At / clock.Second); second != l.second {
 		l.second, l.inSecond = second, 0
 	}
 	if l.inSecond >= l.PerSecond || l.count+2 > len(l.ring) && !l.stopped {
+		l.unreported++
 		l.omitted++
-		l.dropped++
 		return false
 	}
 	l.inSecond++
-	if l.omitted > 0 && !l.stopped {
-		l.put(Decision{At: d.At, Kind: Omitted, Count: l.omitted, Reason: reasonOmitted})
-		l.omitted = 0
+	if l.unreported > 0 && !l.stopped {
+		l.push(Decision{At: d.At, Kind: Omitted, Count: l.unreported, Reason: reasonOmitted})
+		l.unreported = 0
 	}
 	return true
 }
 
-// Run writes decisions until ctx ends and then those that are left in the ring.
-// It may run only once.
+// Run writes decisions until ctx ends, and then those that remain in the ring. It may be
+// called only once.
 func (l *DecisionLog) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, l.stop)
 	defer stop()
 	batch := make([]Decision, 0, maxBatch)
 	for {
-		batch = l.take(batch[:0])
+		batch = l.takeBatch(batch[:0])
 		if len(batch) == 0 {
 			return nil
 		}
@@ -165,7 +167,7 @@
 	}
 }
 
-// stop makes take return without waiting.
+// stop makes takeBatch return without waiting.
 func (l *DecisionLog) stop() {
 	l.mu.Lock()
 	l.stopping = true
@@ -173,9 +175,9 @@
 	l.notEmpty.Signal()
 }
 
-// take appends decisions from the ring to batch, up to its capacity. It waits for
-// one; an empty batch means that the log has stopped.
-func (l *DecisionLog) take(batch []Decision) []Decision {
+// takeBatch moves decisions from the ring to batch, up to its capacity. It waits until
+// there is one; an empty batch means that the log has stopped.
+func (l *DecisionLog) takeBatch(batch []Decision) []Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for l.count == 0 && !l.stopping {
@@ -192,7 +194,7 @@
 	return batch
 }
 
-// write writes one line.
+// write writes one line to the logger.
 func (l *DecisionLog) write(d *Decision) {
 	l.logger.WithFields(d.fields()).Info("decision")
 }
@@ -200,17 +202,17 @@
 // fields returns the fields of d that are set.
 func (d *Decision) fields() log.Fields {
 	f := log.Fields{"At": float64(d.At), "Kind": d.Kind.String(), "Reason": d.Reason}
-	put(f, "Request", d.Request)
-	put(f, "Route", d.Route)
-	put(f, "Service", d.Service)
-	put(f, "Target", d.Target)
-	put(f, "Node", d.Node)
-	put(f, "Version", d.Version)
-	put(f, "Attempt", d.Attempt)
-	put(f, "Status", d.Status)
-	put(f, "Count", d.Count)
-	put(f, "WaitMillis", float64(d.Wait))
-	put(f, "TookMillis", float64(d.Took))
+	setField(f, "Request", d.Request)
+	setField(f, "Route", d.Route)
+	setField(f, "Service", d.Service)
+	setField(f, "Target", d.Target)
+	setField(f, "Node", d.Node)
+	setField(f, "Version", d.Version)
+	setField(f, "Attempt", d.Attempt)
+	setField(f, "Status", d.Status)
+	setField(f, "Count", d.Count)
+	setField(f, "WaitMillis", float64(d.Wait))
+	setField(f, "TookMillis", float64(d.Took))
 	if d.HasLoad {
 		f["Free"], f["Queued"] = d.Free, d.Queued
 	}
@@ -220,8 +222,8 @@
 	return f
 }
 
-// put sets a field unless its value is the zero value.
-func put[T comparable](f log.Fields, name string, v T) {
+// setField sets a field unless its value is the zero value.
+func setField[T comparable](f log.Fields, name string, v T) {
 	var zero T
 	if v != zero {
 		f[name] = v
--- a/io/logs/record_test.go
+++ b/io/logs/record_test.go
@@ -21,39 +21,40 @@
 	"hickoryrail/core/result"
 )
 
-// gated is a writer that blocks until it is opened.
-type gated struct {
-	open chan struct{}
-	buf  bytes.Buffer
+// blockingWriter is a writer that blocks until unblocked is closed.
+type blockingWriter struct {
+	unblocked chan struct{}
+	buf       bytes.Buffer
 }
 
-// Write waits for the gate and keeps the line.
-func (g *gated) Write(p []byte) (int, error) {
-	<-g.open
-	return g.buf.Write(p)
+// Write waits until the writer is unblocked and stores the line.
+func (w *blockingWriter) Write(p []byte) (int, error) {
+	<-w.unblocked
+	return w.buf.Write(p)
 }
 
-// waiters returns how many decisions have found the ring full.
-func (l *DecisionLog) waiters() uint64 {
+// waitCount returns the number of decisions that waited because the ring was full.
+func (l *DecisionLog) waitCount() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.waits
 }
 
-// TestRecordLosesNoLine guards against a line that is lost or repeated when many
-// writers meet a full ring, and against a line that is left behind at the stop.
+// TestRecordLosesNoLine guards against a line that is lost or repeated when several
+// goroutines record into a full ring, and against a line that remains in the ring when
+// Run ends.
 func TestRecordLosesNoLine(t *testing.T) {
 	for _, capacity := range []int{1, 4, 300, 5000} {
 		t.Run(strconv.Itoa(capacity), func(t *testing.T) { recordConcurrently(t, capacity) })
 	}
 }
 
-// recordConcurrently records from several goroutines, ends Run meanwhile and
-// counts the lines.
+// recordConcurrently records from several goroutines, ends Run in the meantime and
+// checks the lines.
 func recordConcurrently(t *testing.T, capacity int) {
 	is := is.New(t)
 	const writers, lines = 8, 200
-	w := &gated{open: make(chan struct{})}
+	w := &blockingWriter{unblocked: make(chan struct{})}
 	l := NewDecisionLog(New(w, log.ErrorLevel), All, capacity)
 	is.NoErr(l.Register(prometheus.NewRegistry()))
 	ctx, cancel := context.WithCancel(context.Background())
@@ -66,18 +67,18 @@
 			for j := range lines {
 				l.Record(Decision{Kind: Admit, Request: ident.RequestID(fmt.Sprintf("%d-%d", i, j)), Attempt: j + 1, Reason: "slot free"})
 				if i == 0 && j == lines/2 {
-					cancel() // the stop meets writers in the middle of their work
+					cancel() // Run ends while goroutines still record
 				}
 			}
 		})
 	}
-	// The writer holds one batch while the gate is closed, so a ring that cannot
-	// take the rest fills.
+	// While the writer is blocked, Run holds one batch, so a ring without room for the
+	// remaining lines becomes full.
 	fills := capacity+maxBatch < writers*lines
-	for fills && l.waiters() == 0 {
+	for fills && l.waitCount() == 0 {
 		runtime.Gosched()
 	}
-	close(w.open)
+	close(w.unblocked)
 	wg.Wait()
 	is.NoErr(<-ended)
 	seen := map[string]int{}
@@ -90,7 +91,7 @@
 		id := entry.Fields["Request"].(string)
 		seen[id]++
 		writer, attempt := id[:1], entry.Fields["Attempt"].(float64)
-		is.True(attempt > last[writer]) // one writer's lines keep their order
+		is.True(attempt > last[writer]) // the lines of one goroutine keep their order
 		last[writer] = attempt
 	}
 	is.Equal(len(seen), writers*lines)
@@ -103,8 +104,8 @@
 	}
 }
 
-// TestFilter guards against a problem that is filtered out and against a line of
-// a log that is off.
+// TestFilter guards against a problem that is filtered out, against a line in a log
+// that is off, and against a filter name that does not parse.
 func TestFilter(t *testing.T) {
 	cases := []struct {
 		d       Decision
@@ -138,7 +139,7 @@
 	}
 }
 
-// BenchmarkRecord measures Record while the ring has room.
+// BenchmarkRecord measures Record while the ring is not full.
 func BenchmarkRecord(b *testing.B) {
 	l := NewDecisionLog(New(io.Discard, log.InfoLevel), All, 1<<16)
 	d := Decision{Kind: Route, Request: "r", Target: "t", Reason: "lower score"}
@@ -151,7 +152,7 @@
 	}
 }
 
-// BenchmarkRecordOff measures Record of a log that is off.
+// BenchmarkRecordOff measures Record with the filter Off.
 func BenchmarkRecordOff(b *testing.B) {
 	l := NewDecisionLog(New(io.Discard, log.InfoLevel), Off, 1)
 	d := Decision{Kind: Route, Request: "r", Target: "t", Reason: "lower score"}
@@ -161,7 +162,7 @@
 	}
 }
 
-// BenchmarkWrite measures one line of the background writer.
+// BenchmarkWrite measures the write of one line.
 func BenchmarkWrite(b *testing.B) {
 	l := NewDecisionLog(New(io.Discard, log.InfoLevel), All, 1)
 	d := Decision{Kind: Route, Request: "r", Target: "t", Reason: "lower score"}
@@ -171,14 +172,14 @@
 	}
 }
 
-// TestBoundedLog guards against a log that holds up the decisions it describes, or
-// that leaves out lines without a word.
+// TestBoundedLog guards against a log with a bound that blocks Record, or that omits
+// lines without reporting their number.
 func TestBoundedLog(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	l := NewDecisionLog(New(&out, log.InfoLevel), All, 8)
 	l.PerSecond = 3
-	for i := range 20 { // nobody writes yet, so a log that waits would hang
+	for i := range 20 { // Run has not started, so a Record that waits would block forever
 		l.Record(Decision{At: clock.Millis(i), Kind: Admit, Reason: "first second"})
 	}
 	l.Record(Decision{At: 1500, Kind: Answer, Status: 503, Reason: "second second"})
@@ -189,5 +190,5 @@
 	is.Equal(strings.Count(text, "first second"), 3)
 	is.Equal(strings.Count(text, "second second"), 1)
 	is.True(strings.Contains(text, `"Count":17`))
-	is.Equal(l.dropped, uint64(17))
+	is.Equal(l.omitted, uint64(17))
 }
