--- a/io/httpd/server_test.go
+++ b/io/httpd/server_test.go
@@ -114,11 +114,11 @@
 // closed the connection.
 func TestCallerLeaves(t *testing.T) {
 	is := is.New(t)
-	entered, left := make(chan struct{}), make(chan struct{})
+	entered, ended := make(chan struct{}), make(chan struct{})
 	f := start(t, func(ctx context.Context, _ *fasthttp.RequestCtx) {
 		close(entered)
 		<-ctx.Done()
-		close(left)
+		close(ended)
 	})
 	c, _ := f.dial(t)
 	_, err := io.WriteString(c, get("/"))
@@ -126,16 +126,16 @@
 	<-entered
 	is.NoErr(c.Close())
 	select {
-	case <-left:
+	case <-ended:
 	case <-time.After(testTimeout):
 		t.Fatal("the context of the handler did not end")
 	}
 }
 
-// TestCloseBehindLast guards against a response that closes the connection while a
+// TestCloseAfterPipelinedRequests guards against a response that closes the connection while a
 // later pipelined request runs: the caller would assume that this request was not read
 // and send it again.
-func TestCloseBehindLast(t *testing.T) {
+func TestCloseAfterPipelinedRequests(t *testing.T) {
 	is := is.New(t)
 	entered, release := make(chan struct{}, 2), make(chan struct{})
 	f := start(t, func(_ context.Context, rc *fasthttp.RequestCtx) {
