--- a/core/spread/node_test.go
+++ b/core/spread/node_test.go
@@ -131,7 +131,7 @@
 
 // snapshot returns the SnapshotBody of a release.
 func snapshot(r model.Release) Message {
-	body := codec.Pack(model.EncodeRelease(r))
+	body := codec.Compress(model.EncodeRelease(r))
 	sum := ident.Sum(body)
 	return Message{Kind: SnapshotBody, Version: r.Version, Digest: r.Digest, Body: body, Sum: sum[:]}
 }
