--- a/io/plat/client.go
+++ b/io/plat/client.go
@@ -55,7 +55,7 @@
 
 var (
 	// errProtocol reports a response that does not follow the protocol.
-	errProtocol = errors.New("answer does not follow the protocol")
+	errProtocol = errors.New("response does not follow the protocol")
 	// errTooLarge reports a body that exceeds MaxBodyBytes.
 	errTooLarge = errors.New("body exceeds 16 MiB")
 )
--- a/io/plat/order_test.go
+++ b/io/plat/order_test.go
@@ -87,14 +87,14 @@
 func (sim *simulation) recordRelease(m *order.Submission) {
 	head, _, err := plat.ReadHead(context.Background(), sim.table)
 	if err != nil || head.Version < ident.Version(len(sim.releases)) || head.Version > ident.Version(len(sim.releases)+1) {
-		sim.t.Fatalf("head goes from version %d to %d: %v", len(sim.releases), head.Version, err)
+		sim.t.Fatalf("head changes from version %d to %d: %v", len(sim.releases), head.Version, err)
 	}
 	if head.Version == ident.Version(len(sim.releases)) {
 		return
 	}
 	r, err := plat.ReadRelease(context.Background(), sim.table, order.HistoryOf(head))
 	if err != nil {
-		sim.t.Fatalf("head names release %d: %v", head.Version, err)
+		sim.t.Fatalf("read release %d of head: %v", head.Version, err)
 	}
 	sim.releases, sim.writers = append(sim.releases, r), append(sim.writers, m)
 }
--- a/io/plat/records.go
+++ b/io/plat/records.go
@@ -14,7 +14,7 @@
 var (
 	// ErrInvalidRelease reports a stored release that is incomplete, invalid or not
 	// the one that its row refers to.
-	ErrInvalidRelease = errors.New("stored release is refused")
+	ErrInvalidRelease = errors.New("stored release is invalid")
 	// errMismatch reports a row or an object whose content does not match the key or
 	// the row that refers to it.
 	errMismatch = errors.New("object is not the one that its row names")
--- a/io/stub/table.go
+++ b/io/stub/table.go
@@ -64,7 +64,7 @@
 	// errDown is the cause of errors while the table is down.
 	errDown = errors.New("table is down")
 	// errLost is the cause of errors for a lost response or request.
-	errLost = errors.New("connection closed before the answer")
+	errLost = errors.New("connection closed before the response")
 )
 
 var _ plat.Store = (*Table)(nil)
