--- a/io/node/hosted_test.go
+++ b/io/node/hosted_test.go
@@ -100,7 +100,7 @@
 	h.changed = make(chan struct{})
 }
 
-func (h *hostedPlatform) Enter(_ context.Context, s member.Seed) error {
+func (h *hostedPlatform) Register(_ context.Context, s member.Seed) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.seeds[s.Node] = s
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -224,10 +224,10 @@
 		startDelayMillis: startJitterMillis * clock.Millis(random.Float64()),
 		readRequest:      make(chan struct{}, 1), scheduledDue: make(chan struct{}, 1),
 	}
-	n.reader.keeper = &plat.Keeper{
+	n.reader.keeper = &plat.LeaseKeeper{
 		Store: store, Clock: n.clock, Region: s.Region,
-		Lease:  &lease.Lease{Self: s.Node, Timing: timing, Rand: splitRandom(random)},
-		OnHold: n.reader.leaseAcquired, OnLose: n.reader.leaseLost,
+		Lease:      &lease.Lease{Self: s.Node, Timing: timing, Rand: splitRandom(random)},
+		OnAcquired: n.reader.leaseAcquired, OnLost: n.reader.leaseLost,
 	}
 	n.fleet.readRelease = func(ident.Version, ident.Digest) { n.reader.requestRead() }
 	n.fleet.needSource = n.reader.requestRead
--- a/io/node/reader.go
+++ b/io/node/reader.go
@@ -56,7 +56,7 @@
 	// spread their reads.
 	startDelayMillis clock.Millis
 
-	keeper *plat.Keeper
+	keeper *plat.LeaseKeeper
 	// lastHeartbeat is the time of the last heartbeat that was passed to keeper.
 	lastHeartbeat clock.Millis
 	// nextPoll is the time of the next poll, and backoff the delay after a failed one.
@@ -87,10 +87,10 @@
 // the source if this node is the reader and a poll is due.
 func (r *reader) tick(ctx context.Context) {
 	now := r.clock.Now()
-	r.keeper.SetFleet(r.fleet.regionSize(r.region))
+	r.keeper.SetFleetSize(r.fleet.regionSize(r.region))
 	if heartbeat := now - r.fleet.heartbeatAge(r.region); heartbeat > r.lastHeartbeat {
 		r.lastHeartbeat = heartbeat
-		r.keeper.Pulse()
+		r.keeper.Heartbeat()
 	}
 	if r.keeper.Holds() && now >= r.nextPoll {
 		r.poll(ctx)
@@ -194,7 +194,7 @@
 		return err
 	}
 	release, err := plat.ReadRelease(ctx, r.store, order.HistoryOf(head))
-	if errors.Is(err, plat.ErrBadRelease) {
+	if errors.Is(err, plat.ErrInvalidRelease) {
 		r.fleet.releaseRefused("", head.Version, err)
 	}
 	if err != nil {
