--- a/io/bench/bench_test.go
+++ b/io/bench/bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestRouteChoice guards against a measurement that loses calls, and prints its
-// table with -v.
+// TestRouteChoice guards against a simulation that does not count each call exactly
+// once, and prints its table with -v.
 func TestRouteChoice(t *testing.T) {
 	table := RouteChoice(500)
 	for _, row := range table.Rows {
@@ -57,8 +57,8 @@
 	}
 }
 
-// TestSilentConnection guards against a watch that finds silence no sooner than
-// the idle timeout.
+// TestSilentConnection guards against a stall detector that needs more than half the
+// time of the idle timeout.
 func TestSilentConnection(t *testing.T) {
 	table := SilentConnection(50)
 	show(t, table)
@@ -66,8 +66,8 @@
 	for i, row := range table.Rows {
 		if row[1] == "idle timeout" {
 			idle = cell(t, table, i, 3)
-		} else if watch := cell(t, table, i, 3); watch*2 > idle {
-			t.Fatalf("idle timeout %f ms, %s %f ms", idle, row[1], watch)
+		} else if detected := cell(t, table, i, 3); detected*2 > idle {
+			t.Fatalf("idle timeout %f ms, %s %f ms", idle, row[1], detected)
 		}
 	}
 }
@@ -81,10 +81,10 @@
 			t.Fatalf("%v", table.Rows[i])
 		}
 	}
-	show(t, FenceCost(10_000))
+	show(t, DedupCost(10_000))
 }
 
-// TestHedges guards against hedges that exceed the budget or do not help.
+// TestHedges guards against hedges that exceed the budget or do not reduce p99.
 func TestHedges(t *testing.T) {
 	table := Hedges(HedgeCalls)
 	show(t, table)
--- a/io/bench/member.go
+++ b/io/bench/member.go
@@ -13,37 +13,40 @@
 )
 
 const (
-	// memberSeed fixes churn and the table's choices.
+	// memberSeed fixes the updates and the table's random choices.
 	memberSeed = 2024
-	// MemberSeconds is the virtual time of one row for figures that are published.
+	// MemberSeconds is the virtual time of one row for published figures.
 	MemberSeconds = 120
-	// memberTick is the interval of ticks.
+	// memberTick is the interval between ticks of a table.
 	memberTick clock.Millis = 100
-	// messageOverhead estimates what a control message adds on the wire: IPv4
-	// and UDP headers (28), a short QUIC header with its tag (about 24) and a
-	// stream frame (4). Acknowledgements and stream credit cost about ackBytes;
-	// ControlTraffic measured a sum of 123 to 128 bytes per message.
+	// messageOverhead estimates the bytes that the transport adds to a control
+	// message: IPv4 and UDP headers (28), a short QUIC header with its
+	// authentication tag (about 24) and a stream frame (4). Acknowledgements and
+	// flow control take about ackBytes more. ControlTraffic measured a sum of 123 to
+	// 128 bytes per message.
 	messageOverhead = 56
 	ackBytes        = 70
 )
 
-// memberDriver plays the neighbours of one real table.
+// memberDriver runs one member.Table and simulates its neighbours.
 type memberDriver struct {
 	table   *member.Table
 	records []member.Record
 	random  *rand.Rand
 	// pending are the copies of updates that neighbours still have to deliver.
 	pending []member.Record
-	digest  uint64
+	// digest is the digest of the table's last message.
+	digest uint64
 	// sent and received are bytes; messages counts both directions.
 	sent, received, messages int
-	busy                     time.Duration
+	// busy is the time spent in the table and in the codec of its messages.
+	busy time.Duration
 }
 
 // MemberCost measures the bytes, messages, processor time and memory of one table
 // against the size of the fleet and the rate of updates in it. Each update
-// reaches the table once from each neighbour, which is the most that can happen. Published figures
-// use MemberSeconds of virtual time with 100, 200, 400 and 800 members.
+// reaches the table once from each neighbour, which is the worst case. Published
+// figures use MemberSeconds of virtual time with 100, 200, 400 and 800 members.
 func MemberCost(seconds int, sizes ...int) (*Table, error) {
 	t := NewTable(fmt.Sprintf("membership cost of one node, %d s of virtual time, seed %d", seconds, memberSeed),
 		"members", "updates/s in the fleet", "messages/s", "bytes/s sent", "bytes/s received",
@@ -55,23 +58,23 @@
 			if err != nil {
 				return nil, err
 			}
-			// The driver's own records are not the table's memory.
-			own := float64(heapBytes()-before) - float64(n*recordBytes)
+			// The driver's own records are not part of the table's memory.
+			tableBytes := float64(heapBytes()-before) - float64(n*recordBytes)
 			if err := d.run(seconds, churn); err != nil {
 				return nil, err
 			}
-			per := func(sum int) float64 { return float64(sum) / float64(seconds) }
-			t.Add(n, churn, per(d.messages), per(d.sent), per(d.received), 100*d.busy.Seconds()/float64(seconds), own/float64(n))
+			perSecond := func(sum int) float64 { return float64(sum) / float64(seconds) }
+			t.Add(n, churn, perSecond(d.messages), perSecond(d.sent), perSecond(d.received), 100*d.busy.Seconds()/float64(seconds), tableBytes/float64(n))
 			runtime.KeepAlive(d)
 		}
 	}
 	return t, nil
 }
 
-// recordBytes is the size of a record in the driver, with its texts.
+// recordBytes is the size of a record in the driver, strings included.
 const recordBytes = 280
 
-// heapBytes returns the live bytes on the heap.
+// heapBytes returns the live bytes on the heap after a collection.
 func heapBytes() int64 {
 	// The second collection empties the codec's pools.
 	runtime.GC()
@@ -81,7 +84,7 @@
 	return int64(s.HeapAlloc)
 }
 
-// memberRecord returns the record of node i with texts of usual length.
+// memberRecord returns the record of node i with strings of typical length.
 func memberRecord(i int) member.Record {
 	name := fmt.Sprintf("wdh-north-roster-%03d", i)
 	return member.Record{
@@ -91,7 +94,7 @@
 	}
 }
 
-// newMemberDriver returns a table that knows n members.
+// newMemberDriver returns a driver whose table holds n members.
 func newMemberDriver(n int) (*memberDriver, error) {
 	d := &memberDriver{random: rand.New(rand.NewPCG(memberSeed, uint64(n)))}
 	d.table = member.New(memberRecord(0), member.DefaultConfig(), rand.New(rand.NewPCG(memberSeed, 1)))
@@ -107,7 +110,7 @@
 	return d, d.deliver(0, d.records[1].Node, body)
 }
 
-// deliver hands an encoded message to the table and plays the answers.
+// deliver passes an encoded message to the table and handles the resulting actions.
 func (d *memberDriver) deliver(now clock.Millis, from ident.NodeID, body []byte) error {
 	start := time.Now()
 	c, err := wire.DecodeControl(body)
@@ -116,11 +119,11 @@
 	}
 	actions := d.table.Receive(now, from, *c.Member)
 	d.busy += time.Since(start)
-	return d.answer(now, actions)
+	return d.handleActions(now, actions)
 }
 
-// answer encodes what the table sends and acknowledges its probes.
-func (d *memberDriver) answer(now clock.Millis, actions []member.Action) error {
+// handleActions encodes the messages that the table sends and acknowledges its probes.
+func (d *memberDriver) handleActions(now clock.Millis, actions []member.Action) error {
 	for _, a := range actions {
 		start := time.Now()
 		body, err := wire.EncodeControl(wire.Control{Member: &a.Message})
@@ -141,12 +144,12 @@
 	return nil
 }
 
-// send delivers a message of a neighbour, with copies of updates.
+// send delivers a message of a neighbour, with pending updates.
 func (d *memberDriver) send(now clock.Millis, from ident.NodeID, m member.Message) error {
 	self := d.table.Self()
 	m.Receiver = member.RecordSummary{Incarnation: self.Incarnation, Revision: self.Revision, Held: self.Held}
 	m.Digest, m.Held = d.digest, self.Held
-	// A neighbour puts at most 6 records on a message, as the table itself does.
+	// A neighbour adds at most 6 records to a message, as the table itself does.
 	k := min(6, len(d.pending))
 	for _, r := range d.pending[:k] {
 		m.Updates = append(m.Updates, member.Update{Record: r})
@@ -162,13 +165,13 @@
 	return d.deliver(now, from, body)
 }
 
-// run lets the virtual time pass with the given rate of updates.
+// run advances the virtual time with churn updates per second in the fleet.
 func (d *memberDriver) run(seconds int, churn float64) error {
 	d.busy, d.sent, d.received, d.messages = 0, 0, 0, 0
 	copies := len(d.table.Neighbours())
-	due := 0.0
+	dueUpdates := 0.0
 	for now := memberTick; now <= clock.Millis(seconds)*clock.Second; now += memberTick {
-		for due += churn * float64(memberTick/clock.Second); due >= 1; due-- {
+		for dueUpdates += churn * float64(memberTick/clock.Second); dueUpdates >= 1; dueUpdates-- {
 			r := &d.records[1+d.random.IntN(len(d.records)-1)]
 			r.Revision++
 			for range copies {
@@ -178,7 +181,7 @@
 		start := time.Now()
 		actions := d.table.Tick(now)
 		d.busy += time.Since(start)
-		if err := d.answer(now, actions); err != nil {
+		if err := d.handleActions(now, actions); err != nil {
 			return err
 		}
 		// Four neighbours probe the table, each once a second.
--- a/io/bench/memory.go
+++ b/io/bench/memory.go
@@ -18,20 +18,20 @@
 	"hickoryrail/io/peer"
 )
 
-// MemorySizes are the counts for figures that are published.
+// MemorySizes are the counts for published figures.
 var MemorySizes = []int{32, 64, 128, 256}
 
 const (
-	// memoryBody is the size of the requests that are in flight.
-	memoryBody = 1024
-	// viewFactor multiplies the counts of members and routes, so that what the
-	// rest of the process frees meanwhile does not matter.
+	// memoryBodyBytes is the size of the requests that are in flight.
+	memoryBodyBytes = 1024
+	// viewFactor multiplies the counts of members and routes, so that memory which the
+	// rest of the process frees meanwhile is negligible.
 	viewFactor = 100
 )
 
-// Memory measures the heap and stacks that call connections, calls in flight,
-// members with a view and routes take, each by count. Connections and calls count
-// both of their ends, since both are in this process.
+// Memory measures the heap and stack memory of call connections, calls in flight,
+// members in a view and routes, for each count in sizes. The figures of connections and
+// calls cover both ends, since both are in this process.
 func Memory(sizes ...int) (*Table, error) {
 	t := NewTable("memory of one process, heap and stacks; connections and calls with both ends",
 		"count", "KB per connection", "KB per call in flight", "bytes per member in a view", "bytes per route")
@@ -69,14 +69,14 @@
 		return 0, 0, err
 	}
 	defer os.RemoveAll(directory)
-	hold := make(chan struct{})
-	held := func(ctx context.Context, _ ident.NodeID, body []byte) []byte {
+	unblock := make(chan struct{})
+	onCall := func(ctx context.Context, _ ident.NodeID, body []byte) []byte {
 		if len(body) > 1 {
-			<-hold
+			<-unblock
 		}
 		return nil
 	}
-	fleet, stop, err := openTransports(directory, n+1, held)
+	fleet, stop, err := openTransports(directory, n+1, onCall)
 	defer stop()
 	if err != nil {
 		return 0, 0, err
@@ -85,15 +85,15 @@
 	if err := callAll(fleet, []byte{0}); err != nil {
 		return 0, 0, err
 	}
-	open := memoryInUse()
+	afterConnect := memoryInUse()
 	var group conc.WaitGroup
-	group.Go(func() { err = callAll(fleet, make([]byte, memoryBody)) })
-	// The held calls have no end that could be waited for.
+	group.Go(func() { err = callAll(fleet, make([]byte, memoryBodyBytes)) })
+	// The calls block in onCall and signal nothing that could be waited for.
 	time.Sleep(time.Second)
 	inFlight := memoryInUse()
-	close(hold)
+	close(unblock)
 	group.Wait()
-	return open - before, inFlight - open, err
+	return afterConnect - before, inFlight - afterConnect, err
 }
 
 // callAll sends body from the first transport to each of the others at once.
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// openTransports opens n transports and returns how to stop them.
+// openTransports opens and runs n transports. The returned function stops them.
 func openTransports(directory string, n int, onCall func(context.Context, ident.NodeID, []byte) []byte) ([]*peer.Transport, func(), error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var group conc.WaitGroup
@@ -163,7 +163,7 @@
 }
 
 // viewMemory returns the bytes of the records, the release and the view of a fleet
-// with that many members and routes.
+// with the given numbers of members and routes.
 func viewMemory(members, routes int) float64 {
 	before := memoryInUse()
 	records := make([]member.Record, members)
--- a/io/bench/overlay_test.go
+++ b/io/bench/overlay_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// TestOverlayCosts guards against membership costs that grow with the fleet and
-// against releases that do not converge.
+// TestOverlayCosts guards against a message rate of the membership that grows with the
+// fleet, and against releases that do not converge.
 func TestOverlayCosts(t *testing.T) {
 	is := is.New(t)
 	members, err := MemberCost(20, 100, 400)
@@ -30,8 +30,8 @@
 	is.True(large <= 1.1*small) // messages per second without updates
 }
 
-// TestControlTraffic guards against tables that do not find each other over real
-// transports, and against control bytes above the budget of a node.
+// TestControlTraffic guards against nodes that do not discover each other over real
+// transports, and against control traffic above the budget of a node.
 func TestControlTraffic(t *testing.T) {
 	is := is.New(t)
 	table, err := ControlTraffic(8, 2*time.Second)
--- a/io/bench/path.go
+++ b/io/bench/path.go
@@ -27,12 +27,12 @@
 )
 
 const (
-	// pathSlice is the length of one slice; slices of both ways alternate, so
-	// that noise of the machine falls on both.
+	// pathSlice is the duration of one slice. Slices of direct calls and of calls over
+	// the path alternate, so that noise of the machine affects both alike.
 	pathSlice = 500 * time.Millisecond
 	// pathRequestBytes and pathAnswerBytes are the sizes of the bodies.
-	pathRequestBytes = 256
-	pathAnswerBytes  = 1024
+	pathRequestBytes  = 256
+	pathResponseBytes = 1024
 	// pathTimeout bounds one call.
 	pathTimeout = 5 * time.Second
 	// maxDelayMicros is the largest delay that is recorded.
@@ -50,8 +50,9 @@
 		stop    context.CancelFunc
 	}
 
-	// way is one of the two ways to the target.
-	way struct {
+	// loadGenerator sends calls to the target, either directly or over the path, and
+	// holds their figures.
+	loadGenerator struct {
 		client *fasthttp.HostClient
 		host   string
 		delays *hdrhistogram.Histogram
@@ -62,32 +63,33 @@
 	}
 )
 
-// PathLength is the time of each rate and way for figures that are published.
-const PathLength = 10 * time.Second
+// PathDuration is the time for each rate, of the direct calls and again of those over
+// the path, for published figures.
+const PathDuration = 10 * time.Second
 
-// PathDelay measures the delay that the whole path (ingress, QUIC, gateway,
-// target) adds to a direct call, in one run for each rate in calls/s.
-func PathDelay(length time.Duration, rates ...int) (*Table, error) {
+// PathDelay measures the delay that the whole path (ingress, QUIC, gateway, target)
+// adds to a direct call, for each rate in calls/s.
+func PathDelay(duration time.Duration, rates ...int) (*Table, error) {
 	f, err := newPathFleet()
 	if err != nil {
 		return nil, err
 	}
 	defer f.close()
 	t := NewTable(fmt.Sprintf("added delay on loopback, all in one process, %d B requests, %d B answers, %v for each rate and way",
-		pathRequestBytes, pathAnswerBytes, length),
+		pathRequestBytes, pathResponseBytes, duration),
 		"calls/s", "direct p50 us", "direct p99 us", "path p50 us", "path p99 us", "added p50 us", "added p99 us",
 		"p99 ratio", "added cpu us/call", "added allocations/call", "calls", "failed")
 	for _, rate := range rates {
-		direct, path := newWay(f.address), newWay(f.ingress.Address())
-		direct.run(rate, pathSlice) // opens the connections
+		direct, path := newLoadGenerator(f.address), newLoadGenerator(f.ingress.Address())
+		direct.run(rate, pathSlice) // warm-up: opens the connections
 		path.run(rate, pathSlice)
 		direct.reset()
 		path.reset()
-		for range int(length / pathSlice) {
+		for range int(duration / pathSlice) {
 			direct.run(rate, pathSlice)
 			path.run(rate, pathSlice)
 		}
-		d50, d99, p50, p99 := direct.at(50), direct.at(99), path.at(50), path.at(99)
+		d50, d99, p50, p99 := direct.percentile(50), direct.percentile(99), path.percentile(50), path.percentile(99)
 		t.Add(rate, d50, d99, p50, p99, p50-d50, p99-d99, float64(p99)/float64(d99),
 			path.perCall(float64(path.cpu.Microseconds()))-direct.perCall(float64(direct.cpu.Microseconds())),
 			path.perCall(float64(path.allocs))-direct.perCall(float64(direct.allocs)),
@@ -96,36 +98,36 @@
 	return t, nil
 }
 
-// newWay returns a way through the HTTP server at address.
-func newWay(address string) *way {
-	return &way{
+// newLoadGenerator returns a generator of calls to the HTTP server at address.
+func newLoadGenerator(address string) *loadGenerator {
+	return &loadGenerator{
 		client: &fasthttp.HostClient{Addr: address, MaxConns: 4096, MaxIdemponentCallAttempts: 1},
 		host:   address, delays: hdrhistogram.New(1, maxDelayMicros, 3),
 	}
 }
 
-// reset forgets the figures so far.
-func (w *way) reset() {
-	w.delays.Reset()
-	w.cpu, w.allocs, w.calls, w.failed = 0, 0, 0, 0
+// reset clears the figures.
+func (g *loadGenerator) reset() {
+	g.delays.Reset()
+	g.cpu, g.allocs, g.calls, g.failed = 0, 0, 0, 0
 }
 
-// at returns a percentile of the delays in microseconds.
-func (w *way) at(percentile float64) int64 {
-	return w.delays.ValueAtPercentile(percentile)
+// percentile returns percentile p of the delays in microseconds.
+func (g *loadGenerator) percentile(p float64) int64 {
+	return g.delays.ValueAtPercentile(p)
 }
 
-// perCall returns a sum divided by the calls.
-func (w *way) perCall(sum float64) float64 {
-	return sum / float64(max(w.calls, 1))
+// perCall returns a sum divided by the number of calls.
+func (g *loadGenerator) perCall(sum float64) float64 {
+	return sum / float64(max(g.calls, 1))
 }
 
 // run sends calls at a fixed rate, whether or not earlier ones were answered.
-func (w *way) run(rate int, length time.Duration) {
+func (g *loadGenerator) run(rate int, duration time.Duration) {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	cpu := processTime()
-	n := int(float64(rate) * length.Seconds())
+	n := int(float64(rate) * duration.Seconds())
 	results := make(chan time.Duration, n)
 	var group conc.WaitGroup
 	start := time.Now()
@@ -136,7 +138,7 @@
 		}
 		sent := time.Now()
 		group.Go(func() {
-			if w.call() {
+			if g.call() {
 				results <- time.Since(sent)
 			} else {
 				results <- -1
@@ -144,31 +146,31 @@
 		})
 	}
 	group.Wait()
-	w.cpu += processTime() - cpu
+	g.cpu += processTime() - cpu
 	runtime.ReadMemStats(&after)
-	w.allocs += after.Mallocs - before.Mallocs
+	g.allocs += after.Mallocs - before.Mallocs
 	for range n {
 		d := <-results
-		w.calls++
-		if d < 0 || w.delays.RecordValue(max(d.Microseconds(), 1)) != nil {
-			w.failed++
+		g.calls++
+		if d < 0 || g.delays.RecordValue(max(d.Microseconds(), 1)) != nil {
+			g.failed++
 		}
 	}
 }
 
-// call makes one call and reports whether the whole answer came.
-func (w *way) call() bool {
+// call makes one call and reports whether it got the complete response.
+func (g *loadGenerator) call() bool {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	req.SetRequestURI("http://" + w.host + "/order")
+	req.SetRequestURI("http://" + g.host + "/order")
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.SetBodyRaw(make([]byte, pathRequestBytes))
-	err := w.client.DoTimeout(req, resp, pathTimeout)
-	return err == nil && resp.StatusCode() == fasthttp.StatusOK && len(resp.Body()) == pathAnswerBytes
+	err := g.client.DoTimeout(req, resp, pathTimeout)
+	return err == nil && resp.StatusCode() == fasthttp.StatusOK && len(resp.Body()) == pathResponseBytes
 }
 
-// processTime returns the processor time of this process.
+// processTime returns the user and system time of this process.
 func processTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -218,13 +220,13 @@
 	return f, f.startIngress(ctx, transports[0], transports[1].Address())
 }
 
-// startTarget starts a target that answers at once.
+// startTarget starts a target that responds without delay.
 func (f *pathFleet) startTarget() error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	answer := make([]byte, pathAnswerBytes)
+	answer := make([]byte, pathResponseBytes)
 	f.address = l.Addr().String()
 	f.target = &fasthttp.Server{Handler: func(ctx *fasthttp.RequestCtx) { ctx.SetBody(answer) }}
 	f.group.Go(func() { _ = f.target.Serve(l) })
--- a/io/bench/path_test.go
+++ b/io/bench/path_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestPathDelay guards against a measurement that loses calls, and prints its
-// table with -v.
+// TestPathDelay guards against failed calls in the measurement, and prints its table
+// with -v.
 func TestPathDelay(t *testing.T) {
 	table, err := PathDelay(pathSlice, 370)
 	if err != nil {
@@ -20,8 +20,8 @@
 	}
 }
 
-// TestAdmission guards against a measurement that loses calls, and prints its
-// table with -v.
+// TestAdmission guards against a simulation that does not count each call exactly once,
+// and prints its table with -v.
 func TestAdmission(t *testing.T) {
 	table := Admission(AdmitMillis)
 	show(t, table)
--- a/io/bench/route.go
+++ b/io/bench/route.go
@@ -21,59 +21,43 @@
 const (
 	// routeSeed fixes arrivals, demands and choices.
 	routeSeed = 2027
-	// RouteMillis is the virtual time of one run for figures that are published.
+	// RouteMillis is the virtual time of one run for published figures.
 	RouteMillis = 30 * clock.Second
-	// meanDemand is the mean time that a call occupies a slot of a target of
-	// speed 1.
+	// meanDemand is the mean time that a call occupies a slot of a target with
+	// slowdown 1.
 	meanDemand clock.Millis = 20
-	// callTimeout is the time that a caller waits.
+	// callTimeout is the time that a caller waits for an answer.
 	callTimeout clock.Millis = 500
-	// sameDomain is the time one way within a failure domain.
-	sameDomain clock.Millis = 0.2
-	// utilisation is the share of all slots that the calls need.
+	// sameDomainDelay is the one-way network delay within a failure domain.
+	sameDomainDelay clock.Millis = 0.2
+	// utilisation is the mean share of all slots that the calls occupy.
 	utilisation = 0.7
-	// slowFactor is the demand of a slow target against a fast one.
+	// slowFactor is the slowdown of a slow target, and of a cold one at its start.
 	slowFactor = 5
-	// coldMillis is the time in which a cold target reaches full speed.
+	// coldMillis is the time after which a cold target has reached full speed.
 	coldMillis = 8 * clock.Second
 )
 
-// Faults of the first target of a service.
+// Faults of the first target of a service, as named in the table. With each of them,
+// every third target is a slower one.
 const (
-	noFault   = "mixed speeds"
-	liar      = "slow target claims to be idle"
-	coldStart = "cold target joins"
-	hang      = "target hangs for a third"
-	resets    = "target resets for a third"
+	faultNone      = "mixed speeds"
+	faultFalseLoad = "slow target claims to be idle"
+	faultColdStart = "cold target joins"
+	faultHang      = "target hangs for a third"
+	faultReset     = "target resets for a third"
 )
 
 type (
-	// step is something that happens at an instant.
-	step struct {
-		at  clock.Millis
-		seq int
-		run func()
-	}
-
-	// agenda holds the steps to come, earliest first.
-	agenda struct {
-		now   clock.Millis
-		seq   int
-		steps steps
-	}
-
-	// steps is a heap.
-	steps []step
-
-	// deployment is the size of one service and its surroundings.
+	// deployment is the size of one service and of the fleet around it.
 	deployment struct {
 		name      string
 		targets   int
 		ingresses int
 		slots     int
 		domains   int
-		// oneWay is the time between failure domains.
-		oneWay clock.Millis
+		// crossDomainDelay is the one-way network delay between failure domains.
+		crossDomainDelay clock.Millis
 	}
 
 	// chooser chooses targets at one ingress.
@@ -86,63 +70,70 @@
 	// pickerChooser chooses with a route.Picker.
 	pickerChooser struct{ picker route.Picker }
 
-	// randomChooser chooses any target with the same chance.
+	// randomChooser chooses each target with the same probability.
 	randomChooser struct {
 		rand    *rand.Rand
 		targets []view.Target
 	}
 
-	// turnChooser chooses in turn.
-	turnChooser struct {
+	// roundRobinChooser chooses the targets in turn.
+	roundRobinChooser struct {
 		next    int
 		targets []view.Target
 	}
 
-	// modelTarget is a target with its gate in virtual time.
-	modelTarget struct {
+	// simTarget is a simulated target with its gate.
+	simTarget struct {
 		index  int
 		id     ident.TargetID
 		domain int
-		speed  clock.Millis
-		busy   int
-		queue  []*modelCall
+		// slowdown multiplies the demand of each call.
+		slowdown clock.Millis
+		running  int
+		queue    []*simCall
 	}
 
-	// modelCall is one call; it ends at most once.
-	modelCall struct {
+	// simCall is one simulated call. It finishes at most once.
+	simCall struct {
 		ingress int
 		started clock.Millis
+		// demand is the time that the call occupies a slot of a target with slowdown 1.
 		demand  clock.Millis
 		state   retry.CallState
 		exclude []ident.TargetID
-		target  *modelTarget
+		target  *simTarget
 		sentAt  clock.Millis
+		// attempt grows at the start and at the end of each attempt, so that an event of
+		// an earlier attempt is recognized as stale.
 		attempt int
-		// queued says that the present attempt waits at its gate.
-		queued bool
-		ended  bool
+		// queued reports whether the current attempt waits at its gate.
+		queued   bool
+		finished bool
 	}
 
-	// routeRun is one run of one chooser.
-	routeRun struct {
-		agenda
-		size     deployment
-		fault    string
-		virtual  clock.Millis
-		targets  []*modelTarget
+	// routeSimulation is one run with one kind of chooser.
+	routeSimulation struct {
+		scheduler
+		size  deployment
+		fault string
+		// duration is the time in which calls arrive. A temporary fault lasts for the
+		// second third of it.
+		duration clock.Millis
+		targets  []*simTarget
 		choosers []chooser
 		policies []*retry.Policy
 		delays   *hdrhistogram.Histogram
-		// answered, notRun and mayHaveRun count calls by their end.
+		// answered, notRun and mayHaveRun count the finished calls by outcome; calls counts
+		// all that were started.
 		answered, notRun, mayHaveRun, calls int
 	}
 )
 
-// serviceName is the one service of the model.
+// serviceName is the only service of the simulations.
 const serviceName ident.ServiceName = "orders"
 
-// deployments are the largest and the smallest service of each deployment of the
-// design page, and one service of its expected size.
+// deployments are the largest and the smallest service of each deployment in the design
+// document, and one service of the expected size.
 var deployments = []deployment{
 	{"Sitaki catalogue", 6, 16, 6, 3, 1.5},
 	{"Sitaki billing", 3, 16, 6, 3, 1.5},
@@ -151,15 +142,15 @@
 	{"expected size", 33, 790, 6, 7, 1.5},
 }
 
-// RouteChoice measures target choice against random choice and round robin with
-// the same arrivals and demands over a virtual time.
-func RouteChoice(virtual clock.Millis) *Table {
-	t := NewTable(fmt.Sprintf("target choice, %s virtual, %.0f in 100 slots needed, seed %d", virtual, utilisation*100, routeSeed),
+// RouteChoice compares the picker with random choice and round robin, with the same
+// arrivals and demands, in virtual time.
+func RouteChoice(duration clock.Millis) *Table {
+	t := NewTable(fmt.Sprintf("target choice, %s virtual, %.0f in 100 slots needed, seed %d", duration, utilisation*100, routeSeed),
 		"deployment", "fault", "choice", "calls", "in time %", "p50 ms", "p99 ms", "not run %", "may have run %")
 	for _, d := range deployments {
-		for _, fault := range []string{noFault, liar, coldStart, hang, resets} {
+		for _, fault := range []string{faultNone, faultFalseLoad, faultColdStart, faultHang, faultReset} {
 			for _, choice := range []string{"picker", "random", "round robin"} {
-				r := newRouteRun(d, fault, choice, virtual)
+				r := newRouteSimulation(d, fault, choice, duration)
 				r.runAll()
 				share := func(n int) float64 { return 100 * float64(n) / float64(r.calls) }
 				t.Add(d.name, fault, choice, r.calls, share(r.answered),
@@ -171,25 +162,25 @@
 	return t
 }
 
-// newRouteRun returns a run with all arrivals scheduled.
-func newRouteRun(d deployment, fault, choice string, virtual clock.Millis) *routeRun {
-	r := &routeRun{size: d, fault: fault, virtual: virtual, delays: hdrhistogram.New(1, 10_000_000, 3)}
+// newRouteSimulation returns a simulation with all arrivals scheduled.
+func newRouteSimulation(d deployment, fault, choice string, duration clock.Millis) *routeSimulation {
+	r := &routeSimulation{size: d, fault: fault, duration: duration, delays: hdrhistogram.New(1, 10_000_000, 3)}
 	rate := 0.0
 	for i := range d.targets {
-		speed := clock.Millis(1)
+		slowdown := clock.Millis(1)
 		if i%3 == 2 {
-			speed = 2 // every third server is of the small size
+			slowdown = 2 // every third server is a small one
 		}
-		if i == 0 && fault == liar {
-			speed = slowFactor
+		if i == 0 && fault == faultFalseLoad {
+			slowdown = slowFactor
 		}
-		r.targets = append(r.targets, &modelTarget{index: i, id: targetName(i), domain: i % d.domains, speed: speed})
-		rate += float64(d.slots) / float64(meanDemand*speed)
+		r.targets = append(r.targets, &simTarget{index: i, id: targetName(i), domain: i % d.domains, slowdown: slowdown})
+		rate += float64(d.slots) / float64(meanDemand*slowdown)
 	}
 	first := 0
-	if fault == coldStart {
+	if fault == faultColdStart {
 		first = 1
-		r.at(virtual/3, func() { r.setView(0) })
+		r.schedule(duration/3, func() { r.setView(0) })
 	}
 	for i := range d.ingresses {
 		r.choosers = append(r.choosers, newChooser(choice, i, d))
@@ -199,28 +190,28 @@
 	}
 	r.setView(first)
 	random := rand.New(rand.NewPCG(routeSeed, 0))
-	for at := clock.Millis(0); at < virtual; at += clock.Millis(random.ExpFloat64() / (rate * utilisation)) {
-		c := &modelCall{ingress: random.IntN(d.ingresses), started: at, demand: meanDemand * clock.Millis(random.ExpFloat64())}
-		r.at(at, func() { r.start(c) })
+	for at := clock.Millis(0); at < duration; at += clock.Millis(random.ExpFloat64() / (rate * utilisation)) {
+		c := &simCall{ingress: random.IntN(d.ingresses), started: at, demand: meanDemand * clock.Millis(random.ExpFloat64())}
+		r.schedule(at, func() { r.start(c) })
 	}
 	return r
 }
 
-// domainName returns the name of a failure domain of the model.
+// domainName returns the name of failure domain i.
 func domainName(i int) ident.FailureDomain {
 	return ident.FailureDomain(fmt.Sprint("fd-", i))
 }
 
-// setView tells all choosers of the targets from number first on.
-func (r *routeRun) setView(first int) {
-	v := modelView(r.size.targets, r.size.domains, r.size.slots, first)
+// setView passes a view with the targets from index first on to all choosers.
+func (r *routeSimulation) setView(first int) {
+	v := simView(r.size.targets, r.size.domains, r.size.slots, first)
 	for _, c := range r.choosers {
 		c.setView(r.now, v)
 	}
 }
 
-// modelView returns a view of one service.
-func modelView(targets, domains, slots, first int) *view.View {
+// simView returns a view of one service with the targets from index first on.
+func simView(targets, domains, slots, first int) *view.View {
 	var records []member.Record
 	for i := first; i < targets; i++ {
 		records = append(records, member.Record{
@@ -233,23 +224,24 @@
 	}}}, records)
 }
 
-// targetName returns the id of a target of the model.
+// targetName returns the id of target i.
 func targetName(i int) ident.TargetID {
 	return ident.TargetID(fmt.Sprintf("target-%03d", i))
 }
 
-// start begins a call, which ends at its deadline at the latest.
-func (r *routeRun) start(c *modelCall) {
+// start starts a call, which finishes at its deadline at the latest.
+func (r *routeSimulation) start(c *simCall) {
 	r.calls++
 	c.state = retry.CallState{Route: model.Route{MaxAttempts: 3, Class: model.Action}, Deadline: r.now + callTimeout}
 	r.policies[c.ingress].Budget.RecordCall(r.now)
-	r.at(c.state.Deadline, func() { r.expire(c) })
-	r.send(c)
+	r.schedule(c.state.Deadline, func() { r.expire(c) })
+	r.sendAttempt(c)
 }
 
-// send makes one attempt.
-func (r *routeRun) send(c *modelCall) {
-	if c.ended {
+// sendAttempt chooses a target and sends one attempt to it. If no target is left that
+// the call has not tried, it may choose any target again.
+func (r *routeSimulation) sendAttempt(c *simCall) {
+	if c.finished {
 		return
 	}
 	t, ok := r.choosers[c.ingress].pick(r.now, c.exclude)
@@ -257,39 +249,39 @@
 		t, ok = r.choosers[c.ingress].pick(r.now, nil)
 	}
 	if !ok {
-		r.end(c, result.NotRun)
+		r.finish(c, result.NotRun)
 		return
 	}
-	c.target = r.targets[slices.IndexFunc(r.targets, func(m *modelTarget) bool { return m.id == t.ID })]
+	c.target = r.targets[slices.IndexFunc(r.targets, func(m *simTarget) bool { return m.id == t.ID })]
 	c.sentAt = r.now
 	c.state.Start(r.now)
 	c.attempt++
 	attempt := c.attempt
-	r.at(r.now+r.oneWay(c), func() { r.arrive(c, attempt) })
+	r.schedule(r.now+r.networkDelay(c), func() { r.arrive(c, attempt) })
 }
 
-// oneWay returns the time between a call's ingress and its target.
-func (r *routeRun) oneWay(c *modelCall) clock.Millis {
+// networkDelay returns the one-way delay between a call's ingress and its target.
+func (r *routeSimulation) networkDelay(c *simCall) clock.Millis {
 	if c.ingress%r.size.domains == c.target.domain {
-		return sameDomain
+		return sameDomainDelay
 	}
-	return r.size.oneWay
+	return r.size.crossDomainDelay
 }
 
-// faulty reports whether the fault of the first target is active.
-func (r *routeRun) faulty(t *modelTarget, fault string) bool {
-	return r.fault == fault && t.index == 0 && r.now >= r.virtual/3 && r.now < 2*r.virtual/3
+// faultActive reports whether the fault of the first target is active.
+func (r *routeSimulation) faultActive(t *simTarget, fault string) bool {
+	return r.fault == fault && t.index == 0 && r.now >= r.duration/3 && r.now < 2*r.duration/3
 }
 
-// arrive is the gate's side of an attempt.
-func (r *routeRun) arrive(c *modelCall, attempt int) {
+// arrive handles the arrival of an attempt at its gate.
+func (r *routeSimulation) arrive(c *simCall, attempt int) {
 	t := c.target
 	switch {
-	case c.ended || attempt != c.attempt:
-	case r.faulty(t, hang):
-	case r.faulty(t, resets):
+	case c.finished || attempt != c.attempt:
+	case r.faultActive(t, faultHang):
+	case r.faultActive(t, faultReset):
 		r.reply(c, attempt, result.MayHaveRun, true)
-	case t.busy < r.size.slots:
+	case t.running < r.size.slots:
 		r.serve(t, c)
 	case len(t.queue) < r.size.slots:
 		c.queued = true
@@ -299,21 +291,21 @@
 	}
 }
 
-// serve occupies a slot for the call's demand.
-func (r *routeRun) serve(t *modelTarget, c *modelCall) {
-	t.busy++
+// serve runs a call in a slot and then starts queued calls in the free slots.
+func (r *routeSimulation) serve(t *simTarget, c *simCall) {
+	t.running++
 	c.queued = false
-	attempt, speed := c.attempt, t.speed
-	if r.fault == coldStart && t.index == 0 {
-		cold := 1 - min((r.now-r.virtual/3)/coldMillis, 1)
-		speed += cold * (slowFactor - 1)
+	attempt, slowdown := c.attempt, t.slowdown
+	if r.fault == faultColdStart && t.index == 0 {
+		cold := 1 - min((r.now-r.duration/3)/coldMillis, 1)
+		slowdown += cold * (slowFactor - 1)
 	}
-	r.at(r.now+c.demand*speed, func() {
-		t.busy--
-		for len(t.queue) > 0 && t.busy < r.size.slots {
+	r.schedule(r.now+c.demand*slowdown, func() {
+		t.running--
+		for len(t.queue) > 0 && t.running < r.size.slots {
 			next := t.queue[0]
 			t.queue = t.queue[1:]
-			if !next.ended {
+			if !next.finished {
 				r.serve(t, next)
 			}
 		}
@@ -321,15 +313,15 @@
 	})
 }
 
-// reply brings an attempt's outcome and the gate's report to the ingress.
-func (r *routeRun) reply(c *modelCall, attempt int, v result.Verdict, failed bool) {
+// reply sends an attempt's outcome and the gate's load report to the ingress.
+func (r *routeSimulation) reply(c *simCall, attempt int, v result.Verdict, failed bool) {
 	t := c.target
-	load := admit.Load{Free: r.size.slots - t.busy, Queued: len(t.queue)}
-	if r.fault == liar && t.index == 0 {
+	load := admit.Load{Free: r.size.slots - t.running, Queued: len(t.queue)}
+	if r.fault == faultFalseLoad && t.index == 0 {
 		load = admit.Load{Free: r.size.slots}
 	}
-	r.at(r.now+r.oneWay(c), func() {
-		if c.ended || attempt != c.attempt {
+	r.schedule(r.now+r.networkDelay(c), func() {
+		if c.finished || attempt != c.attempt {
 			return
 		}
 		r.choosers[c.ingress].done(r.now, t.id, route.Outcome{
@@ -339,18 +331,18 @@
 		c.state.End(v)
 		d := r.policies[c.ingress].Decide(r.now, c.state, v)
 		if d.Kind != retry.Retry {
-			r.end(c, d.Verdict)
+			r.finish(c, d.Verdict)
 			return
 		}
 		c.exclude = append(c.exclude, t.id)
-		r.at(d.At, func() { r.send(c) })
+		r.schedule(d.At, func() { r.sendAttempt(c) })
 	})
 }
 
-// expire ends a call at its deadline. One that still waits at its gate is
-// withdrawn and was not run.
-func (r *routeRun) expire(c *modelCall) {
-	if c.ended {
+// expire finishes a call at its deadline. A call that still waits at its gate is
+// withdrawn and counts as not run.
+func (r *routeSimulation) expire(c *simCall) {
+	if c.finished {
 		return
 	}
 	r.choosers[c.ingress].done(r.now, c.target.id, route.Outcome{
@@ -360,12 +352,12 @@
 	if c.queued {
 		v = result.NotRun
 	}
-	r.end(c, v)
+	r.finish(c, v)
 }
 
-// end counts a call.
-func (r *routeRun) end(c *modelCall, v result.Verdict) {
-	c.ended = true
+// finish marks a call as finished and counts its outcome.
+func (r *routeSimulation) finish(c *simCall, v result.Verdict) {
+	c.finished = true
 	switch v {
 	case result.Ran:
 		r.answered++
--- a/io/bench/run.go
+++ b/io/bench/run.go
@@ -12,25 +12,26 @@
 	"time"
 )
 
-// every is the name that stands for all measurements.
-const every = "all"
+// nameAll is the name that selects all measurements.
+const nameAll = "all"
 
 type (
 	// Measurement is one entry of Measurements.
 	Measurement struct {
-		// Name is that of the command line and of the CSV file.
+		// Name selects the measurement on the command line and names its CSV file.
 		Name string
-		// Help is one line without a full stop.
+		// Help describes the measurement in one line without a full stop.
 		Help string
-		// Run measures at the published or the quick size.
+		// Run measures with the sizes of published figures, or with smaller ones if quick.
 		Run func(quick bool) (*Table, error)
 	}
 
 	// Runner runs measurements by name.
 	Runner struct {
-		// CSV is the directory for one CSV file per table; empty writes none.
+		// CSV is the directory for one CSV file per table; no files are written if it is
+		// empty.
 		CSV string
-		// Quick uses sizes whose figures only show that a measurement works.
+		// Quick selects small sizes, which only show that the measurements work.
 		Quick bool
 	}
 )
@@ -44,12 +45,12 @@
 		return Admission(size(quick, 1000, AdmitMillis)), nil
 	}},
 	{"retries", "executions through a chain of calls with and without the retry policy", func(quick bool) (*Table, error) {
-		return RetryAmplification(size(quick, 20, ChainCalls), size(quick, 20_000, ChainLimit)), nil
+		return RetryAmplification(size(quick, 20, ChainCalls), size(quick, 20_000, ChainMaxExecutions)), nil
 	}},
 	{"hedges", "delay of checks with and without hedges", func(quick bool) (*Table, error) {
 		return Hedges(size(quick, 2000, HedgeCalls)), nil
 	}},
-	{"silence", "time from a silent connection to the next good call, with and without the watch", func(quick bool) (*Table, error) {
+	{"silence", "time from a silent connection to the next good call, with and without the stall detector", func(quick bool) (*Table, error) {
 		return SilentConnection(size(quick, 5, StallRuns)), nil
 	}},
 	{"membership", "cost of the member table by fleet size and updates", func(quick bool) (*Table, error) {
@@ -59,23 +60,23 @@
 		return ReleaseConvergence(size(quick, 1, SpreadBursts), size(quick, []int{10}, []int{50, 200, 790})...)
 	}},
 	{"traffic", "control bytes of real transports on loopback, all in one process", func(quick bool) (*Table, error) {
-		return ControlTraffic(size(quick, 3, TrafficNodes), size(quick, 300*time.Millisecond, TrafficLength))
+		return ControlTraffic(size(quick, 3, TrafficNodes), size(quick, 300*time.Millisecond, TrafficDuration))
 	}},
 	{"path", "delay that the whole path adds to a direct call, by rate", func(quick bool) (*Table, error) {
-		return PathDelay(size(quick, pathSlice, PathLength), size(quick, []int{100}, []int{370, 1000, 2000, 4000})...)
+		return PathDelay(size(quick, pathSlice, PathDuration), size(quick, []int{100}, []int{370, 1000, 2000, 4000})...)
 	}},
 	{"pick", "processor time of a target choice and of its decision log", func(quick bool) (*Table, error) {
 		return PickCost(size(quick, 1000, CostRuns)), nil
 	}},
 	{"fence", "processor time and memory of the request records of a gate", func(quick bool) (*Table, error) {
-		return FenceCost(size(quick, 1000, CostRuns)), nil
+		return DedupCost(size(quick, 1000, CostRuns)), nil
 	}},
 	{"memory", "memory of connections, calls in flight, members and routes", func(quick bool) (*Table, error) {
 		return Memory(size(quick, []int{2}, MemorySizes)...)
 	}},
 }
 
-// size returns the size to use.
+// size returns small if quick, and published otherwise.
 func size[T any](quick bool, small, published T) T {
 	if quick {
 		return small
@@ -83,7 +84,7 @@
 	return published
 }
 
-// SetFlags defines the flags.
+// SetFlags defines the command-line flags.
 func (r *Runner) SetFlags(f *flag.FlagSet) {
 	f.StringVar(&r.CSV, "csv", "", "`directory` for one CSV file per table")
 	f.BoolVar(&r.Quick, "quick", false, "use sizes that only show that the measurements work")
@@ -94,9 +95,9 @@
 // when ctx ends.
 func (r *Runner) Run(ctx context.Context, w io.Writer, names []string) error {
 	if len(names) == 0 {
-		return list(w)
+		return printList(w)
 	}
-	chosen, err := choose(names)
+	selected, err := selectMeasurements(names)
 	if err != nil {
 		return err
 	}
@@ -105,7 +106,7 @@
 			return err
 		}
 	}
-	for _, m := range chosen {
+	for _, m := range selected {
 		if err := ctx.Err(); err != nil {
 			return err
 		}
@@ -116,7 +117,7 @@
 	return nil
 }
 
-// run runs one measurement.
+// run runs one measurement, prints its table and writes its CSV file.
 func (r *Runner) run(w io.Writer, m Measurement) error {
 	start := time.Now()
 	t, err := m.Run(r.Quick)
@@ -139,44 +140,44 @@
 	return errors.Join(t.CSV(f), f.Close())
 }
 
-// choose returns the measurements with the given names, each once.
-func choose(names []string) ([]Measurement, error) {
+// selectMeasurements returns the measurements with the given names, each once.
+func selectMeasurements(names []string) ([]Measurement, error) {
 	wanted := make(map[string]bool)
 	for _, name := range names {
 		wanted[name] = true
 	}
 	var out []Measurement
 	for _, m := range Measurements {
-		if wanted[m.Name] || wanted[every] {
+		if wanted[m.Name] || wanted[nameAll] {
 			out = append(out, m)
 		}
 		delete(wanted, m.Name)
 	}
-	delete(wanted, every)
+	delete(wanted, nameAll)
 	for _, name := range names {
 		if wanted[name] {
-			return nil, fmt.Errorf("no measurement %q; the names are %s", name, strings.Join(allNames(), ", "))
+			return nil, fmt.Errorf("no measurement %q; the names are %s", name, strings.Join(validNames(), ", "))
 		}
 	}
 	return out, nil
 }
 
-// allNames returns what choose accepts.
-func allNames() []string {
-	out := []string{every}
+// validNames returns the names that selectMeasurements accepts.
+func validNames() []string {
+	out := []string{nameAll}
 	for _, m := range Measurements {
 		out = append(out, m.Name)
 	}
 	return out
 }
 
-// list prints the measurements.
-func list(w io.Writer) error {
+// printList prints the names of the measurements with their help.
+func printList(w io.Writer) error {
 	for _, m := range Measurements {
 		if _, err := fmt.Fprintf(w, "%-12s %s\n", m.Name, m.Help); err != nil {
 			return err
 		}
 	}
-	_, err := fmt.Fprintf(w, "%-12s %s\n", every, "all of them")
+	_, err := fmt.Fprintf(w, "%-12s %s\n", nameAll, "all of them")
 	return err
 }
--- a/io/bench/table.go
+++ b/io/bench/table.go
@@ -12,11 +12,11 @@
 
 // Table is the result of one measurement.
 type Table struct {
-	// Title says what was measured, with its sizes and seeds.
+	// Title describes the measurement, with its sizes and seeds.
 	Title string
 	// Columns are the headings, with units.
 	Columns []string
-	// Rows have one cell for each column.
+	// Rows holds the rows, each with one cell per column.
 	Rows [][]string
 }
 
@@ -25,8 +25,8 @@
 	return &Table{Title: title, Columns: columns}
 }
 
-// Add appends a row. Numbers with a fraction get at most three significant
-// decimals; other values their default format.
+// Add appends a row. A float64 is written with at most three decimals and without
+// trailing zeros, any other value in its default format.
 func (t *Table) Add(cells ...any) {
 	row := make([]string, len(cells))
 	for i, c := range cells {
--- a/io/bench/traffic.go
+++ b/io/bench/traffic.go
@@ -21,15 +21,15 @@
 )
 
 const (
-	// TrafficNodes is the fleet size for figures that are published.
+	// TrafficNodes is the fleet size for published figures.
 	TrafficNodes = 16
-	// TrafficLength is the time of the measurement for figures that are published.
-	TrafficLength = 20 * time.Second
-	// trafficPatience bounds the wait until all members know each other.
-	trafficPatience = time.Minute
+	// TrafficDuration is the duration of the measurement for published figures.
+	TrafficDuration = 20 * time.Second
+	// trafficTimeout bounds the wait until every table holds all members.
+	trafficTimeout = time.Minute
 )
 
-// trafficNode is a real table on a real transport.
+// trafficNode is a member.Table with a peer.Transport.
 type trafficNode struct {
 	transport *peer.Transport
 	clock     *clock.System
@@ -39,29 +39,30 @@
 	sent, bytes int
 }
 
-// ControlTraffic measures the bytes of the control connections of real transports
-// on loopback, with QUIC's own packets and the UDP and IPv4 headers, after a
-// warm-up of the same time that begins when all members know each other.
+// ControlTraffic measures the bytes of the control connections of real transports on
+// loopback, including QUIC's own packets and the UDP and IPv4 headers. The measurement of
+// duration d follows a warm-up of the same duration, which begins when every table holds
+// all members.
 func ControlTraffic(nodes int, d time.Duration) (*Table, error) {
 	t := NewTable(fmt.Sprintf("control traffic of real transports on loopback, %d nodes, %s", nodes, d),
 		"nodes", "members known", "messages/s sent per node", "message bytes/s sent per node",
 		"wire bytes/s sent per node", "wire bytes/s received per node", "overhead bytes per message")
-	fleet, stop, err := startTraffic(nodes)
+	fleet, stop, err := startTrafficFleet(nodes)
 	if err != nil {
 		return nil, err
 	}
 	defer stop()
-	for end := time.Now().Add(trafficPatience); totals(fleet)[4] < float64(nodes*nodes); time.Sleep(memberTick.Duration()) {
+	for end := time.Now().Add(trafficTimeout); totals(fleet)[4] < float64(nodes*nodes); time.Sleep(memberTick.Duration()) {
 		if time.Now().After(end) {
-			return nil, errors.New("members did not find each other")
+			return nil, errors.New("members did not discover each other in time")
 		}
 	}
 	time.Sleep(d)
 	before := totals(fleet)
 	time.Sleep(d)
 	after := totals(fleet)
-	per := func(i int) float64 { return (after[i] - before[i]) / d.Seconds() / float64(nodes) }
-	t.Add(nodes, after[4]/float64(nodes), per(0), per(1), per(2), per(3), (per(2)-per(1))/per(0))
+	perNodeSecond := func(i int) float64 { return (after[i] - before[i]) / d.Seconds() / float64(nodes) }
+	t.Add(nodes, after[4]/float64(nodes), perNodeSecond(0), perNodeSecond(1), perNodeSecond(2), perNodeSecond(3), (perNodeSecond(2)-perNodeSecond(1))/perNodeSecond(0))
 	return t, nil
 }
 
@@ -80,8 +81,8 @@
 	return out
 }
 
-// startTraffic starts a fleet and returns how to stop it.
-func startTraffic(nodes int) ([]*trafficNode, func(), error) {
+// startTrafficFleet starts a fleet. The returned function stops it.
+func startTrafficFleet(nodes int) ([]*trafficNode, func(), error) {
 	directory, err := os.MkdirTemp("", "hickoryrail-bench")
 	if err != nil {
 		return nil, nil, err
@@ -115,7 +116,8 @@
 	return fleet, stop, nil
 }
 
-// newTrafficNode opens a transport. The first node of the fleet is the seed.
+// newTrafficNode returns node i with an open transport. The first node of the fleet is
+// the seed of the others.
 func newTrafficNode(directory string, i int, fleet []*trafficNode) (*trafficNode, error) {
 	self := memberRecord(i)
 	identity, err := keys.LoadIdentity(directory, self.Node)
@@ -151,7 +153,7 @@
 			return
 		case <-ticker.C:
 			n.mu.Lock()
-			n.carry(n.table.Tick(n.clock.Now()))
+			n.send(n.table.Tick(n.clock.Now()))
 			n.mu.Unlock()
 		}
 	}
@@ -165,15 +167,15 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.carry(n.table.Receive(n.clock.Now(), from, *c.Member))
+	n.send(n.table.Receive(n.clock.Now(), from, *c.Member))
 }
 
-// carry sends the table's messages.
-func (n *trafficNode) carry(actions []member.Action) {
+// send sends the table's messages.
+func (n *trafficNode) send(actions []member.Action) {
 	for _, a := range actions {
 		body, err := wire.EncodeControl(wire.Control{Member: &a.Message})
 		if err != nil {
-			panic(err) // every message of a table has an encoding
+			panic(err) // every message of a table can be encoded
 		}
 		n.sent++
 		n.bytes += len(body)
