--- a/io/demo/callers.go
+++ b/io/demo/callers.go
@@ -9,19 +9,18 @@
 	"github.com/valyala/fasthttp"
 
 	"hickoryrail/core/result"
-
 	"hickoryrail/io/target"
 )
 
-// callTimeout bounds one call of a caller; it is above every route's timeout.
+// callTimeout bounds one call of a caller; it exceeds the timeout of every route.
 const callTimeout = 5 * time.Second
 
-// verdictHeader tells callers whether a request may have run.
+// verdictHeader is the response header that indicates whether a request may have run.
 const verdictHeader = "Hickoryrail-Verdict"
 
 // Callers send calls to the nodes until their context ends.
 type Callers struct {
-	// Addresses are the nodes' caller addresses.
+	// Addresses are the addresses of the nodes for callers.
 	Addresses []string
 	// Count is the number of callers, each with one call at a time.
 	Count int
@@ -29,21 +28,22 @@
 	Pause time.Duration
 	// MaxCalls bounds the calls of one caller.
 	MaxCalls int
-	Ledger   *Ledger
+	// Ledger records the calls.
+	Ledger *Ledger
 }
 
-// Run sends calls until ctx ends or the bound is reached. A call that has begun
-// is finished.
+// Run sends calls until ctx ends or each caller has made MaxCalls calls. It waits for the
+// calls in flight.
 func (c *Callers) Run(ctx context.Context) {
 	var wg conc.WaitGroup
 	for i := range c.Count {
-		wg.Go(func() { c.caller(ctx, i) })
+		wg.Go(func() { c.runCaller(ctx, i) })
 	}
 	wg.Wait()
 }
 
-// caller sends the calls of one caller, two actions to each check.
-func (c *Callers) caller(ctx context.Context, i int) {
+// runCaller sends the calls of caller i, two actions for each check.
+func (c *Callers) runCaller(ctx context.Context, i int) {
 	client := &fasthttp.Client{MaxIdemponentCallAttempts: 1, RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false }}
 	for n := range c.MaxCalls {
 		if ctx.Err() != nil {
@@ -60,8 +60,8 @@
 	}
 }
 
-// call sends one call and records its outcome. A check that was retried may run
-// more than once, so only actions are counted at the targets.
+// call sends one call and records its outcome. Only actions are compared with the runs
+// that the targets count, since a retried check may run more than once.
 func (c *Callers) call(client *fasthttp.Client, method, address, path, action string) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
--- a/io/demo/fleet.go
+++ b/io/demo/fleet.go
@@ -1,5 +1,5 @@
-// Package demo provides a whole fleet in one process: the platform stand-in, nodes
-// in three failure domains, targets of two services and callers.
+// Package demo provides a whole fleet in one process: the platform stub, nodes in three
+// failure domains, targets of two services and callers.
 package demo
 
 import (
@@ -19,21 +19,21 @@
 	"hickoryrail/io/target"
 )
 
-// loopback is a free port on the loopback interface.
+// loopback is the address for listening on a free port of the loopback interface.
 const loopback = "127.0.0.1:0"
 
 type (
-	// Fleet is a platform stand-in with nodes and a target beside each node.
+	// Fleet is a platform stub with nodes and a target beside each node.
 	Fleet struct {
 		Layout
-		// Output takes the log lines of the nodes.
-		Output io.Writer
+		// LogOutput receives the log lines of the nodes.
+		LogOutput io.Writer
 
 		directory string
 		platform  *stub.Server
 		nodes     []*node.Node
 		targets   []*target.Server
-		// stops ends the run of each target.
+		// stops holds the function that stops each target.
 		stops  []context.CancelFunc
 		wg     conc.WaitGroup
 		cancel context.CancelFunc
@@ -68,13 +68,13 @@
 	return nil
 }
 
-// startNode starts one node with the earlier ones as seeds.
+// startNode starts node i.
 func (f *Fleet) startNode(ctx context.Context, i int) error {
-	settings, err := conf.Parse(f.Settings(i, f.place(i)))
+	settings, err := conf.Parse(f.Settings(i, f.environment(i)))
 	if err != nil {
 		return err
 	}
-	n, err := node.New(settings, f.Output)
+	n, err := node.New(settings, f.LogOutput)
 	if err != nil {
 		return err
 	}
@@ -85,16 +85,17 @@
 	return nil
 }
 
-// place returns where node i finds the rest of the fleet.
-func (f *Fleet) place(i int) Place {
-	p := Place{
+// environment returns the environment of node i. The first node is the seed of the
+// others.
+func (f *Fleet) environment(i int) Environment {
+	e := Environment{
 		Caller: loopback, Target: loopback, Admin: loopback, Operator: loopback, Peer: loopback,
 		Platform: f.platform.Address(), Keys: f.directory, HasTarget: true,
 	}
 	if i > 0 {
-		p.Seeds = []string{fmt.Sprintf("%s@%s", f.nodes[0].ID(), f.nodes[0].PeerAddress())}
+		e.Seeds = []string{fmt.Sprintf("%s@%s", f.nodes[0].ID(), f.nodes[0].PeerAddress())}
 	}
-	return p
+	return e
 }
 
 // startTarget starts the target beside node i.
--- a/io/demo/layout.go
+++ b/io/demo/layout.go
@@ -9,14 +9,14 @@
 )
 
 type (
-	// Layout says how the nodes and targets of a fleet are spread. Node i, from 0,
+	// Layout describes the distribution of a fleet's nodes and targets. Node i, from 0,
 	// is in domain i and beside a target of service i, both modulo their number.
 	Layout struct {
 		// Nodes is the number of nodes.
 		Nodes    int
 		Domains  []ident.FailureDomain
 		Services []ident.ServiceName
-		// DelayMillis is how long each request takes at a target.
+		// DelayMillis is the time that each request takes at a target.
 		DelayMillis clock.Millis
 		// RoundMillis is the setting Spread.RoundMillis of each node.
 		RoundMillis clock.Millis
@@ -24,15 +24,16 @@
 		Decisions string
 	}
 
-	// Place is where one node finds the rest of the fleet.
-	Place struct {
-		// Caller to Peer are the node's own addresses.
+	// Environment holds the settings of one node that depend on the machine and on the
+	// rest of the fleet.
+	Environment struct {
+		// Caller, Target, Admin, Operator and Peer are the node's own addresses, host:port.
 		Caller, Target, Admin, Operator, Peer string
-		// Platform is host:port of the platform, Keys the key directory.
+		// Platform is the address of the platform, host:port, and Keys the key directory.
 		Platform, Keys string
-		// Seeds are entries NodeID@host:port.
+		// Seeds holds the seeds as NodeID@host:port.
 		Seeds []string
-		// HasTarget says that a target is beside the node.
+		// HasTarget reports whether a target is beside the node.
 		HasTarget bool
 	}
 )
@@ -61,14 +62,14 @@
 	return ident.TargetID(fmt.Sprintf("%s-%d", l.Service(i), i/len(l.Services)+1))
 }
 
-// Settings returns the settings file of node i.
-func (l Layout) Settings(i int, p Place) string {
+// Settings returns the contents of the settings file of node i.
+func (l Layout) Settings(i int, e Environment) string {
 	service, target := "", ""
-	if p.HasTarget {
+	if e.HasTarget {
 		service, target = string(l.Service(i)), string(l.TargetID(i))
 	}
-	seeds := make([]string, len(p.Seeds))
-	for k, s := range p.Seeds {
+	seeds := make([]string, len(e.Seeds))
+	for k, s := range e.Seeds {
 		seeds[k] = fmt.Sprintf("%q", s)
 	}
 	return fmt.Sprintf(`
@@ -89,6 +90,6 @@
 RoundMillis = %d
 [Log]
 Decisions = %q
-`, l.NodeID(i), l.Domains[i%len(l.Domains)], service, target, p.Caller, p.Target, p.Admin, p.Operator, p.Peer,
-		"http://"+p.Platform, p.Keys, strings.Join(seeds, ", "), int(l.RoundMillis), l.Decisions)
+`, l.NodeID(i), l.Domains[i%len(l.Domains)], service, target, e.Caller, e.Target, e.Admin, e.Operator, e.Peer,
+		"http://"+e.Platform, e.Keys, strings.Join(seeds, ", "), int(l.RoundMillis), l.Decisions)
 }
--- a/io/demo/ledger.go
+++ b/io/demo/ledger.go
@@ -8,23 +8,25 @@
 )
 
 type (
-	// Call is one call of a caller with what came back.
+	// Call is one call of a caller with its outcome.
 	Call struct {
+		// Action identifies the action; empty for a check.
 		Action  string
 		Verdict result.Verdict
-		// Answered says that the target's answer came back.
+		// Answered reports whether the caller got the target's answer.
 		Answered bool
-		// Crossed says that the answer was not the one to this call.
+		// Crossed reports whether the answer belongs to another call.
 		Crossed bool
 	}
 
-	// Ledger compares what callers were told with what targets ran.
+	// Ledger records calls and compares their outcomes with the actions that the targets
+	// ran. It is safe for concurrent use.
 	Ledger struct {
 		mu    sync.Mutex
 		calls []Call
 	}
 
-	// Totals are the sums of a ledger.
+	// Totals counts the calls of a ledger.
 	Totals struct {
 		Calls, Answered, NotRun, MayHaveRun int
 		// Crossed counts answers that belong to another call.
@@ -33,8 +35,7 @@
 		Doubled int
 		// Lost counts answered actions that no target ran.
 		Lost int
-		// FalseRefusals counts actions that ran although they were refused as
-		// not run.
+		// FalseRefusals counts actions that ran although their verdict was NotRun.
 		FalseRefusals int
 	}
 )
@@ -46,7 +47,7 @@
 	l.calls = append(l.calls, c)
 }
 
-// Totals compares the calls with the targets' counts of runs by action.
+// Totals compares the calls with runs, the number of runs of each action at the targets.
 func (l *Ledger) Totals(runs map[string]int) Totals {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,7 +58,7 @@
 	return t
 }
 
-// add counts one call that ran n times.
+// add counts one call whose action ran n times.
 func (t *Totals) add(c Call, n int) {
 	t.Calls++
 	switch {
@@ -74,8 +75,9 @@
 	t.Doubled += boolToInt(n > 1)
 }
 
-// Held reports whether the totals keep every promise on requests.
-func (t Totals) Held() bool {
+// OK reports whether at least one call was answered and no guarantee for requests was
+// violated.
+func (t Totals) OK() bool {
 	return t.Crossed == 0 && t.Doubled == 0 && t.Lost == 0 && t.FalseRefusals == 0 && t.Answered > 0
 }
 
--- a/io/demo/observe.go
+++ b/io/demo/observe.go
@@ -25,7 +25,7 @@
 	return lowest
 }
 
-// CallerAddresses returns the nodes' addresses for callers.
+// CallerAddresses returns the addresses of the nodes for callers.
 func (f *Fleet) CallerAddresses() []string {
 	out := make([]string, len(f.nodes))
 	for i, n := range f.nodes {
@@ -34,7 +34,7 @@
 	return out
 }
 
-// ControlBytes returns the control bytes that all nodes sent.
+// ControlBytes returns the control bytes that all nodes have sent.
 func (f *Fleet) ControlBytes() ident.Bytes {
 	var sum ident.Bytes
 	for _, n := range f.nodes {
@@ -44,7 +44,7 @@
 	return sum
 }
 
-// Runs returns how often the targets ran each action.
+// Runs returns the number of runs of each action, over all targets.
 func (f *Fleet) Runs() map[string]int {
 	sum := make(map[string]int)
 	for _, t := range f.targets {
