--- a/core/admit/classqueue.go
+++ b/core/admit/classqueue.go
@@ -158,8 +158,8 @@
 
 // choose returns the class and the list index of the call to start: an action if its
 // share is due, else the oldest call of the class that reached its ageing bound first,
-// else the call with the earliest deadline in the class of highest priority. At least
-// one call must wait.
+// unless that is the waiting class of highest priority, else the call with the earliest
+// deadline in the waiting class of highest priority. At least one call must wait.
 func (q *classQueue) choose(now clock.Millis) (class, at int, reason string) {
 	every := q.gate.ActionEvery
 	if every > 0 && q.startsSinceAction >= every-1 && len(q.lists[model.Action]) > 0 {
--- a/core/admit/gate_test.go
+++ b/core/admit/gate_test.go
@@ -113,7 +113,8 @@
 	}
 	actionDue = actionDue && c.Class == model.Action
 	for class := range model.Browse + 1 {
-		if !actionDue && class != c.Class && o.ageingDue(class) && (!o.ageingDue(c.Class) || o.passedOverSince[class] < o.passedOverSince[c.Class]) {
+		if !actionDue && class != c.Class && o.ageingDue(class) &&
+			(!o.ageingDue(c.Class) || o.passedOverSince[class] < o.passedOverSince[c.Class]) {
 			o.t.Fatalf("%s of class %v passed over class %v, due since %v", a.ID, c.Class, class, o.passedOverSince[class])
 		}
 	}
--- a/core/admit/goalqueue.go
+++ b/core/admit/goalqueue.go
@@ -157,8 +157,8 @@
 	updateAverage(&q.averageRun[min(c.Rank, LastRank)], took)
 }
 
-// nextExpiry returns the first instant from which on a waiting call can no longer end by
-// its deadline, or clock.Forever.
+// nextExpiry returns the last instant at which every waiting call can still end by its
+// deadline, or clock.Forever.
 func (q *goalQueue) nextExpiry() clock.Millis {
 	next := clock.Forever
 	for _, list := range q.lists {
--- a/core/admit/waitestimator.go
+++ b/core/admit/waitestimator.go
@@ -3,8 +3,8 @@
 import "hickoryrail/core/clock"
 
 const (
-	// windowMillis is the length of a period over which the longest timeout is
-	// tracked. It counts in its own period and in the next one.
+	// windowMillis is the length of a period over which the longest remaining time
+	// is tracked. The maximum of a period also counts in the next one.
 	windowMillis = 5 * clock.Second
 	// toleranceShare is the share by which the timeout of a first try may fall short
 	// of the longest one: callers set different timeouts, and transit takes time.
@@ -27,7 +27,7 @@
 }
 
 // Observe records the remaining time of a request and returns how long its caller has
-// waited, 0 for a first try.
+// waited; 0 if the request appears to be a first try.
 func (e *WaitEstimator[K]) Observe(now clock.Millis, kind K, remaining clock.Millis) clock.Millis {
 	if e.byKind == nil {
 		e.byKind = make(map[K]*maxima)
--- a/core/clock/millis.go
+++ b/core/clock/millis.go
@@ -39,7 +39,7 @@
 	return time.UnixMicro(int64(float64(m) * 1000)).UTC()
 }
 
-// String formats m in milliseconds with at most three decimals.
+// String formats m in milliseconds with as many decimals as its exact value needs.
 func (m Millis) String() string {
 	return strconv.FormatFloat(float64(m), 'f', -1, 64) + "ms"
 }
--- a/core/once/atmostonce_test.go
+++ b/core/once/atmostonce_test.go
@@ -64,7 +64,7 @@
 		request  string
 		claim    *Claim
 		policy   *retry.Policy
-		attempt  retry.CallState
+		call     retry.CallState
 		current  ident.RequestID
 		crashed  bool
 		forwards int
@@ -113,7 +113,8 @@
 	return max(0, rapid.IntRange(-2*kinds, kinds).Draw(sim.t, label))
 }
 
-// drawDelay draws the time that the network takes to deliver a message.
+// drawDelay draws the duration of one step: opening a connection, delivering a message,
+// accessing the store or executing a request.
 func (sim *simulation) drawDelay() clock.Millis {
 	if !sim.faulty {
 		return 1
@@ -152,7 +153,7 @@
 	s := &submission{sim: sim, name: name, key: key, request: request}
 	s.policy = &retry.Policy{Budget: &retry.Budget{PerSecond: 1e6}, Rand: rand.New(rand.NewPCG(1, uint64(len(name))))}
 	s.policy.Budget.RecordCall(sim.now)
-	s.attempt = retry.CallState{Route: model.Route{MaxAttempts: 3}, Deadline: sim.now + 5000}
+	s.call = retry.CallState{Route: model.Route{MaxAttempts: 3}, Deadline: sim.now + 5000}
 	if key == "" {
 		s.forward()
 		return s
--- a/core/once/claim.go
+++ b/core/once/claim.go
@@ -332,8 +332,8 @@
 	return out
 }
 
-// answer ends the claim with the action that answers the caller, unless the caller has
-// been answered already.
+// answer ends the claim. It returns the action that answers the caller, or nothing if
+// the caller has been answered already.
 func (c *Claim) answer(a Action) []Action {
 	c.stage = done
 	if c.answered {
--- a/core/once/explore_test.go
+++ b/core/once/explore_test.go
@@ -62,7 +62,7 @@
 		// of the gate that started them.
 		running []packet
 		ran     int
-		attempt retry.CallState
+		call    retry.CallState
 		policy  *retry.Policy
 		// gate and addressed are those of the current attempt.
 		gate      int
@@ -93,18 +93,18 @@
 	}
 	s.policy = &retry.Policy{Budget: &retry.Budget{PerSecond: 1e6}, Rand: rand.New(rand.NewPCG(1, 1))}
 	s.policy.Budget.RecordCall(0)
-	s.attempt = retry.CallState{Route: model.Route{MaxAttempts: s.bounds.attempts}, Deadline: 5000}
+	s.call = retry.CallState{Route: model.Route{MaxAttempts: s.bounds.attempts}, Deadline: 5000}
 	s.send()
 	return s
 }
 
 // send sends the next attempt, alternating between the gates.
 func (s *scenario) send() {
-	s.gate = s.attempt.Sent % len(s.gates)
+	s.gate = s.call.Sent % len(s.gates)
 	s.addressed = s.gates[s.gate].Gate
-	s.attempt.Start(0)
+	s.call.Start(0)
 	s.waiting, s.voided = true, false
-	s.packets = append(s.packets, packet{kind: requestPacket, gate: s.gate, addressed: s.addressed, attempt: s.attempt.Sent})
+	s.packets = append(s.packets, packet{kind: requestPacket, gate: s.gate, addressed: s.addressed, attempt: s.call.Sent})
 }
 
 // id returns the request id of an attempt.
@@ -183,7 +183,7 @@
 // timeout handles a timeout of the ingress: the first one sends a void for the attempt,
 // the second one ends it as MayHaveRun.
 func (s *scenario) timeout() {
-	n := s.attempt.Sent
+	n := s.call.Sent
 	if s.voided {
 		s.endAttempt(n, result.MayHaveRun)
 		return
@@ -195,12 +195,12 @@
 // endAttempt handles the verdict of the current attempt; verdicts of other attempts are
 // ignored.
 func (s *scenario) endAttempt(attempt int, v result.Verdict) {
-	if !s.waiting || attempt != s.attempt.Sent {
+	if !s.waiting || attempt != s.call.Sent {
 		return
 	}
 	s.waiting = false
-	s.attempt.End(v)
-	d := s.policy.Decide(0, s.attempt, v)
+	s.call.End(v)
+	d := s.policy.Decide(0, s.call, v)
 	if d.Kind == retry.Retry {
 		s.send()
 		return
@@ -213,7 +213,7 @@
 	var b strings.Builder
 	for _, d := range s.gates {
 		fmt.Fprint(&b, d.Gate, ":")
-		for n := 1; n <= s.attempt.Sent; n++ {
+		for n := 1; n <= s.call.Sent; n++ {
 			if r := d.records[id(n)]; r != nil {
 				fmt.Fprint(&b, n, r.phase, r.verdict, " ")
 			}
@@ -227,7 +227,7 @@
 		slices.Sort(texts)
 		fmt.Fprint(&b, texts)
 	}
-	fmt.Fprint(&b, s.ran, s.attempt.Sent, s.attempt.Uncertain, s.addressed, s.waiting, s.voided, s.answered, s.verdict,
+	fmt.Fprint(&b, s.ran, s.call.Sent, s.call.Uncertain, s.addressed, s.waiting, s.voided, s.answered, s.verdict,
 		s.lost, s.duplicated, s.restarts)
 	return b.String()
 }
--- a/core/once/submission_test.go
+++ b/core/once/submission_test.go
@@ -101,7 +101,7 @@
 // forward sends an attempt to a gate; the addressed incarnation may be out of date.
 func (s *submission) forward() {
 	sim := s.sim
-	if s.attempt.Sent == 0 {
+	if s.call.Sent == 0 {
 		if s.forwards++; s.forwards > 1 {
 			sim.t.Fatalf("%s was forwarded twice", s.name)
 		}
@@ -110,10 +110,10 @@
 		}
 		sim.forwarded[s.key] = s.request
 	}
-	s.attempt.Start(sim.now)
-	id := ident.RequestID(fmt.Sprintf("%s.%d", s.name, s.attempt.Sent))
+	s.call.Start(sim.now)
+	id := ident.RequestID(fmt.Sprintf("%s.%d", s.name, s.call.Sent))
 	s.current = id
-	i := s.attempt.Sent % len(sim.gates)
+	i := s.call.Sent % len(sim.gates)
 	gate := sim.gates[i].Gate - ident.Incarnation(sim.drawFault(1, "stale"))
 	sim.sendTo(i, func() { s.serveAtGate(i, gate, id) })
 	sim.after(60, func() { s.sendVoid(i, gate, id) })
@@ -167,8 +167,8 @@
 		return
 	}
 	s.current = ""
-	s.attempt.End(v)
-	d := s.policy.Decide(sim.now, s.attempt, v)
+	s.call.End(v)
+	d := s.policy.Decide(sim.now, s.call, v)
 	if d.Kind == retry.Retry {
 		sim.after(d.At-sim.now, s.forward)
 		return
--- a/core/retry/policy.go
+++ b/core/retry/policy.go
@@ -15,13 +15,14 @@
 	DefaultBaseBackoffMillis clock.Millis = 4
 	// DefaultMaxBackoffMillis bounds a backoff.
 	DefaultMaxBackoffMillis clock.Millis = 250
-	// maxRefusals bounds the attempts of a call that gates refuse, without fail-fast
-	// ones. A refusal costs a round trip to a node but no work of a target.
+	// maxRefusals bounds the attempts of a call that gates refuse, not counting
+	// fail-fast ones. A refusal costs a round trip to a node but no work of a target.
 	maxRefusals = 3
 	// minGoalFraction is the fraction of the response-time goal that must be left
 	// before the deadline for another attempt after a failure.
 	minGoalFraction = 0.5
-	// DefaultMinAttemptMillis is the least time before the deadline for an attempt.
+	// DefaultMinAttemptMillis is the least time that must be left before the deadline
+	// for another attempt.
 	DefaultMinAttemptMillis clock.Millis = 1
 )
 
@@ -111,8 +112,8 @@
 		BaseBackoffMillis clock.Millis
 		// MaxBackoffMillis bounds a backoff; 0 means DefaultMaxBackoffMillis.
 		MaxBackoffMillis clock.Millis
-		// MinAttemptMillis is the least time before the deadline for an attempt; 0
-		// means DefaultMinAttemptMillis.
+		// MinAttemptMillis is the least time that must be left before the deadline for
+		// another attempt; 0 means DefaultMinAttemptMillis.
 		MinAttemptMillis clock.Millis
 	}
 )
--- a/core/retry/policy_property_test.go
+++ b/core/retry/policy_property_test.go
@@ -80,7 +80,8 @@
 		c := &chain{
 			t: t, rand: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)),
 			calls: make([]int, levels+1), attempts: make([]int, levels),
-			refusedFraction: rapid.Float64Range(0, 1).Draw(t, "refused"), lostFraction: rapid.Float64Range(0, 1).Draw(t, "lost"),
+			refusedFraction: rapid.Float64Range(0, 1).Draw(t, "refused"),
+			lostFraction:    rapid.Float64Range(0, 1).Draw(t, "lost"),
 			route: model.Route{
 				Idempotent: rapid.Bool().Draw(t, "idempotent"), MaxAttempts: rapid.IntRange(1, 5).Draw(t, "attempts"),
 				TimeoutMillis: clock.Millis(rapid.IntRange(1, 1000).Draw(t, "timeout")),
--- a/core/route/endpoint.go
+++ b/core/route/endpoint.go
@@ -49,7 +49,8 @@
 		leftAt clock.Millis
 		// inFlight counts picks without Done; never negative.
 		inFlight int
-		// pickedAt is the instant of the last pick.
+		// pickedAt is the instant of the last pick, or of the target's first view
+		// before there was one.
 		pickedAt clock.Millis
 		// noOutcomeSince is the instant of the last outcome, or of the pick that ended
 		// a period without calls in flight, if that is later.
@@ -59,7 +60,8 @@
 		delay clock.Millis
 		// failureRate is the moving average of failed (1) and answered (0) calls.
 		failureRate float64
-		// sampledAt is the instant of the last sample in delay and failureRate.
+		// sampledAt is the instant of the last sample in delay and failureRate, or of
+		// the target's first view or restart if that is later.
 		sampledAt clock.Millis
 		// load is the gate's last load report, of the instant loadAt; valid if hasLoad.
 		load    admit.Load
@@ -70,7 +72,7 @@
 		// consecutiveFailures counts failures since the last answered call.
 		consecutiveFailures int
 		// ejections counts ejections; a success more than SlowStartMillis after the
-		// last one resets it.
+		// end of the last one resets it.
 		ejections int
 		ejected   bool
 		// ejectedUntil is the end of the last ejection.
--- a/core/route/failfast.go
+++ b/core/route/failfast.go
@@ -7,21 +7,22 @@
 	maxFailFast = 2
 	// admissionWeight is the weight of the newest attempt in admissionRate.
 	admissionWeight = 0.05
-	// minAdmissionRate is the admission rate below which most calls stop failing fast:
-	// nearly all targets are busy, and a refused attempt only costs a round trip.
+	// minAdmissionRate is the admission rate below which most calls make no fail-fast
+	// attempts: nearly all targets are busy, and a refused attempt only costs a round
+	// trip.
 	minAdmissionRate = 0.25
-	// probeInterval is the number of calls of which one still fails fast while the
-	// admission rate is too low, so that free slots are noticed again.
+	// probeInterval is the number of calls of which one still makes a fail-fast attempt
+	// while the admission rate is too low, so that free slots are noticed again.
 	probeInterval = 16
 )
 
 type (
-	// FailFastPolicy decides whether an attempt fails fast, which means that the gate
-	// refuses it unless a slot is free now or soon, or may wait in the gate's queue. In
-	// a large fleet near its capacity each node makes few calls to each target, so its
-	// load figures are out of date, and calls queue at one target while another has a
-	// free slot. A refused fail-fast attempt costs a round trip to a node but no work of
-	// a target. It is not safe for concurrent use.
+	// FailFastPolicy decides whether an attempt fails fast or may wait in the gate's
+	// queue. A gate refuses a fail-fast attempt at once unless a slot is free now or
+	// soon. In a large fleet near its capacity each node makes few calls to each target,
+	// so its load figures are out of date, and calls queue at one target while another
+	// has a free slot. A refused fail-fast attempt costs a round trip to a node but no
+	// work of a target. It is not safe for concurrent use.
 	FailFastPolicy struct {
 		services map[ident.ServiceName]*failFastState
 	}
@@ -31,7 +32,7 @@
 		// admissionRate is the moving average of fail-fast attempts that were
 		// admitted (1) or refused (0).
 		admissionRate float64
-		// skipped counts the calls since the last probe that did not fail fast.
+		// skipped counts the calls without a fail-fast attempt since the last probe.
 		skipped int
 	}
 )
--- a/core/route/split.go
+++ b/core/route/split.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// next adds its weight to the credit of every part, and returns the service of the part
-// with the most credit after deducting the total weight from it.
+// next adds each part's weight to its credit, deducts the total weight from the part
+// with the most credit, and returns the service of that part.
 func (s *splitState) next() ident.ServiceName {
 	total, best := 0, -1
 	for i, p := range s.parts {
--- a/core/view/index.go
+++ b/core/view/index.go
@@ -75,8 +75,8 @@
 }
 
 // longestMatch returns the route with the longest prefix that matches path up to the end
-// of a segment, or nil. It reads no more bytes than the longest prefix has, so that a
-// long path with many slashes costs no more.
+// of a segment, or nil. It examines only the start of path up to the length of the longest
+// prefix, so that a long path with many slashes costs no more.
 func (h *hostRoutes) longestMatch(path string) *model.Route {
 	if len(path) <= h.longestPrefix {
 		if r := h.byPrefix[path]; r != nil {
