--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -16,7 +16,8 @@
 	OK Reply = iota
 	// Conflict means that the store rejected a write because its condition failed.
 	Conflict
-	// Unknown means that the response to a write was lost, so it may have taken effect.
+	// Unknown means that the response to a write was lost, so it may have taken effect
+	// or may still do so.
 	Unknown
 	// Failed means that the call certainly had no effect.
 	Failed
--- a/core/lease/write.go
+++ b/core/lease/write.go
@@ -77,7 +77,7 @@
 
 // Stop gives up the lease. The holder releases it by writing the row without a holder, so
 // that another node acquires it without waiting for the TTL. Stopped is returned at once,
-// or after the calls that are in flight and the release have ended.
+// or after the call in flight and the release have ended.
 func (l *Lease) Stop(now clock.Millis) []Action {
 	actions := l.endHolding()
 	if l.call != noCall {
--- a/core/member/config.go
+++ b/core/member/config.go
@@ -39,8 +39,8 @@
 		JoinMillis clock.Millis
 		// SyncMillis is the minimum interval between the syncs that a node starts.
 		SyncMillis clock.Millis
-		// PauseMillis is the gap between two ticks at which a node assumes that
-		// its process was paused. It is well above the interval of ticks.
+		// PauseMillis is the shortest gap between two ticks that a node treats as a
+		// pause of its process. It is well above the interval of ticks.
 		PauseMillis clock.Millis
 		// PiggybackBytes bounds the updates in a message, so that a probe fits
 		// into one packet.
--- a/core/member/message.go
+++ b/core/member/message.go
@@ -52,7 +52,8 @@
 	Update struct {
 		_      struct{} `cbor:",toarray"`
 		Record Record
-		// Observer is the node whose probe failed, if Record is Suspect.
+		// Observer is the node that got no answer from the suspected node; it is set
+		// only if Record is Suspect.
 		Observer ident.NodeID
 	}
 
--- a/core/member/network_test.go
+++ b/core/member/network_test.go
@@ -55,12 +55,13 @@
 		hosts    map[ident.NodeID]*host
 		inFlight []packet
 		sent     int
-		// loss and duplicate are probabilities; extraDelay is the maximum of an
-		// additional delay that a quarter of the messages get.
+		// loss and duplicate are probabilities; maxExtraDelay bounds the delay that a
+		// quarter of the messages get in addition.
 		loss, duplicate float64
-		extraDelay      clock.Millis
-		// cut reports whether messages between two nodes are lost.
-		cut func(from, to ident.NodeID) bool
+		maxExtraDelay   clock.Millis
+		// blocked, if set, reports whether all messages from one node to another are
+		// lost.
+		blocked func(from, to ident.NodeID) bool
 		// onChange, if set, is called for each change in the table of the node at.
 		onChange func(at ident.NodeID, earlier, later Record, reason string)
 	}
@@ -107,12 +108,12 @@
 			copies = 2
 		}
 		for range copies {
-			if net.random.Float64() < net.loss || net.cut != nil && net.cut(from, a.To) {
+			if net.random.Float64() < net.loss || net.blocked != nil && net.blocked(from, a.To) {
 				continue
 			}
 			delay := clock.Millis(1 + net.random.IntN(5))
-			if net.extraDelay > 0 && net.random.IntN(4) == 0 {
-				delay += clock.Millis(net.random.Float64()) * net.extraDelay
+			if net.maxExtraDelay > 0 && net.random.IntN(4) == 0 {
+				delay += clock.Millis(net.random.Float64()) * net.maxExtraDelay
 			}
 			net.inFlight = append(net.inFlight, packet{at: net.now + delay, from: from, Action: a})
 		}
--- a/core/member/probe.go
+++ b/core/member/probe.go
@@ -195,7 +195,8 @@
 }
 
 // contactSeed probes a seed that is not a live member. A node without members
-// requests all records from the seed instead, at a shorter interval.
+// requests all records from the seed instead, at a shorter interval. Until joinUntil,
+// records are requested from several seeds at once.
 func (t *Table) contactSeed(now clock.Millis) []Action {
 	if now < t.joinUntil {
 		t.nextSeed = now + joinIntervalMillis
--- a/core/member/table.go
+++ b/core/member/table.go
@@ -80,7 +80,7 @@
 		// live.
 		contribution uint64
 		// suspectedAt and observers are the start of the current suspicion and the
-		// nodes whose probes failed.
+		// nodes that reported it.
 		suspectedAt clock.Millis
 		observers   sets.Set[ident.NodeID]
 		// reportedDead is set if a peer reported the suspected member as Dead.
--- a/core/member/table_test.go
+++ b/core/member/table_test.go
@@ -35,9 +35,9 @@
 		for range rapid.IntRange(1, 8).Draw(t, "faults") {
 			net.loss = rapid.Float64Range(0, 0.5).Draw(t, "loss")
 			net.duplicate = rapid.Float64Range(0, 0.3).Draw(t, "duplicate")
-			net.extraDelay = clock.Millis(rapid.IntRange(0, 30_000).Draw(t, "extra delay"))
+			net.maxExtraDelay = clock.Millis(rapid.IntRange(0, 30_000).Draw(t, "extra delay"))
 			from, to := node.Draw(t, "from"), node.Draw(t, "to")
-			net.cut = func(f, o ident.NodeID) bool { return f == from && o == to }
+			net.blocked = func(f, o ident.NodeID) bool { return f == from && o == to }
 			h := net.hosts[node.Draw(t, "node")]
 			switch rapid.IntRange(0, 3).Draw(t, "fault") {
 			case 0:
@@ -56,7 +56,7 @@
 			}
 			net.run(clock.Millis(rapid.IntRange(0, 15_000).Draw(t, "duration")))
 		}
-		net.loss, net.duplicate, net.extraDelay, net.cut = 0, 0, 0, nil
+		net.loss, net.duplicate, net.maxExtraDelay, net.blocked = 0, 0, 0, nil
 		running := 0
 		for i, name := range net.nodes {
 			// Separated nodes can only find each other through a running seed.
@@ -185,7 +185,7 @@
 			}
 		}
 		inFirst := func(x ident.NodeID) bool { return x < net.nodes[size] }
-		net.cut = func(from, to ident.NodeID) bool { return inFirst(from) != inFirst(to) }
+		net.blocked = func(from, to ident.NodeID) bool { return inFirst(from) != inFirst(to) }
 		net.run(3 * detectionMillis(net.config, n))
 		for _, x := range net.nodes {
 			for _, y := range net.nodes {
@@ -200,7 +200,7 @@
 				t.Fatalf("%s has %s of its own side as Dead: %s", at, later.Node, reason)
 			}
 		}
-		net.cut = nil
+		net.blocked = nil
 		net.run(4*net.config.RetryMillis + net.config.SyncMillis + 3*spreadMillis(net.config, n))
 		if err := net.checkAgreement(); err != nil {
 			t.Fatal(err)
--- a/core/member/update.go
+++ b/core/member/update.go
@@ -80,7 +80,7 @@
 }
 
 // refute raises the node's own incarnation above that of a record that this
-// incarnation did not create, or that has the node as Suspect, Dead or Left.
+// incarnation did not create, or that marks the node as Suspect, Dead or Left.
 func (t *Table) refute(incarnation ident.Incarnation, revision uint64, state State) {
 	if t.self.State == Left || incarnation < t.self.Incarnation {
 		return
@@ -160,7 +160,7 @@
 
 // handleDeadReport handles a peer's report that a member is Dead. The report counts as
 // a confirmed suspicion and not as Dead: after a partition between two regions, each
-// has the other's members as Dead, and these must have time to refute it before their
+// lists the other's members as Dead, and these must have time to refute it before their
 // own region stops routing to them.
 func (t *Table) handleDeadReport(now clock.Millis, m *member, from ident.NodeID, r Record) {
 	if m.record.State == Alive || !r.sameRevision(m.record) {
@@ -190,7 +190,8 @@
 }
 
 // suspicionTimeout returns the time from Suspect to Dead. It falls from the maximum to
-// the minimum with the logarithm of the number of independent observers.
+// the minimum with the logarithm of the number of independent observers, and is the
+// minimum at once if a peer reported the member as Dead.
 func (t *Table) suspicionTimeout(m *member) clock.Millis {
 	possible := min(ringCount, len(t.members)) - 1
 	further := min(len(m.observers)-1, possible)
--- a/core/model/delta.go
+++ b/core/model/delta.go
@@ -26,8 +26,8 @@
 	// ErrBase reports a delta with another base release.
 	ErrBase = errors.New("delta starts from another release")
 
-	// errFields reports a delta that leaves fields that belong to no element, or with
-	// a text that is not the canonical form of their value.
+	// errFields reports a delta whose result contains a field of no element, or a value
+	// that is not in canonical form.
 	errFields = errors.New("delta has a malformed or incomplete element")
 )
 
--- a/core/order/edit.go
+++ b/core/order/edit.go
@@ -52,8 +52,8 @@
 		Version  ident.Version
 		Base     ident.Version
 		Operator string
-		// Clashes are the conflicting fields of a refused edit: those that the edit and
-		// a release since its base changed to different values.
+		// Clashes are the fields of a refused edit that conflict with the releases since
+		// its base, as model.Merge returns them.
 		Clashes []string
 		// Reason is the text that explains why the edit was refused.
 		Reason string
--- a/core/order/refusal.go
+++ b/core/order/refusal.go
@@ -55,7 +55,7 @@
 	return s.finish(a)
 }
 
-// refuse asks for the refusal to be recorded; a dry run writes nothing and ends.
+// refuse requests that the refusal is recorded; a dry run ends without recording it.
 func (s *Submission) refuse(clashes []string, reason string) Action {
 	row := s.refusalRow(clashes, reason)
 	if s.DryRun {
--- a/core/report/tracker.go
+++ b/core/report/tracker.go
@@ -88,8 +88,8 @@
 }
 
 // replaces reports whether a report is from a later start than that of the present
-// target. It compares the start times; without them, a report with another target id
-// does, unless that target is leaving.
+// target. It compares the start times. If one of them is unknown, a report with another
+// target id counts as a later start, unless its sender is leaving.
 func (t *Tracker) replaces(s Status) bool {
 	if s.StartedAt > 0 && t.current.StartedAt > 0 {
 		return s.StartedAt > t.current.StartedAt
--- a/core/spread/announce.go
+++ b/core/spread/announce.go
@@ -19,7 +19,7 @@
 	if !next.newer(s.heartbeat) {
 		return nil
 	}
-	n.heartbeats[region] = heartbeatState{heartbeat: next, progressAt: now}
+	n.heartbeats[region] = heartbeatState{heartbeat: next, learnedAt: now}
 	return n.announceDue(now)
 }
 
@@ -30,7 +30,7 @@
 	if !ok {
 		return clock.Forever
 	}
-	return now - s.progressAt
+	return now - s.learnedAt
 }
 
 // mergeHeartbeats adopts the received heartbeats that are newer than the known ones, and
@@ -42,7 +42,7 @@
 			continue
 		}
 		if !known || h.newer(s.heartbeat) {
-			n.heartbeats[h.Region] = heartbeatState{heartbeat: h, progressAt: now}
+			n.heartbeats[h.Region] = heartbeatState{heartbeat: h, learnedAt: now}
 		}
 		if p != nil && h.newer(p.heartbeats[h.Region]) {
 			p.heartbeats[h.Region] = h
@@ -50,9 +50,10 @@
 	}
 }
 
-// announceDue announces new releases and heartbeats to the neighbours that lack them,
-// each at most once per interval. It also makes the periodic repair announcement to one
-// neighbour if that is due.
+// announceDue announces new releases and heartbeats to the neighbours that lack them. New
+// releases cause an announcement at most once per RoundMillis, and heartbeats at most once
+// per HeartbeatMillis or RoundMillis, whichever is longer. It also makes the periodic
+// repair announcement to one neighbour if that is due.
 func (n *Node) announceDue(now clock.Millis) []Action {
 	releaseDue := now-n.releaseAnnouncedAt >= n.config.RoundMillis
 	heartbeatDue := now-n.heartbeatsAnnouncedAt >= max(n.config.HeartbeatMillis, n.config.RoundMillis)
--- a/core/spread/message.go
+++ b/core/spread/message.go
@@ -30,7 +30,8 @@
 	// caller passes the result to SourceRelease.
 	ReadRelease
 	// NeedSource reads the newest release from the source, because no peer has a
-	// release at or above the floor, or because the source goes before the peers.
+	// release at or above the floor, or because a node without a release reads the
+	// source before it fetches from peers.
 	NeedSource
 )
 
@@ -86,9 +87,9 @@
 )
 
 var (
-	// kindNames holds the text form of each kind.
+	// kindNames holds the name of each kind.
 	kindNames = [kindCount]string{"Announce", "Fetch", "DeltaBody", "SnapshotBody", "Busy"}
-	// actionNames holds the text form of each action kind.
+	// actionNames holds the name of each action kind.
 	actionNames = [...]string{"Send", "Apply", "ReadRelease", "NeedSource"}
 )
 
--- a/core/spread/node.go
+++ b/core/spread/node.go
@@ -92,8 +92,8 @@
 	// heartbeatState is the latest heartbeat of a region's reader and when the node
 	// learned it.
 	heartbeatState struct {
-		heartbeat  Heartbeat
-		progressAt clock.Millis
+		heartbeat Heartbeat
+		learnedAt clock.Millis
 	}
 )
 
--- a/core/spread/node_test.go
+++ b/core/spread/node_test.go
@@ -29,9 +29,9 @@
 		for range rapid.IntRange(1, 10).Draw(t, "faults") {
 			sim.config.RoundMillis = clock.Millis(rapid.SampledFrom([]int{100, 500, 2000}).Draw(t, "round"))
 			sim.loss = rapid.Float64Range(0, 0.9).Draw(t, "loss")
-			sim.duplicate = rapid.Float64Range(0, 0.5).Draw(t, "double")
+			sim.duplicate = rapid.Float64Range(0, 0.5).Draw(t, "duplicate")
 			sim.tamper = rapid.Float64Range(0, 0.3).Draw(t, "tamper")
-			sim.maxExtraDelay = clock.Millis(rapid.IntRange(0, 30_000).Draw(t, "hold"))
+			sim.maxExtraDelay = clock.Millis(rapid.IntRange(0, 30_000).Draw(t, "extra delay"))
 			from, to := node.Draw(t, "from"), node.Draw(t, "to")
 			sim.blocked = func(f, o ident.NodeID) bool { return f == from && o == to }
 			p := node.Draw(t, "node")
--- a/core/spread/simulation_test.go
+++ b/core/spread/simulation_test.go
@@ -63,7 +63,8 @@
 		// the delay that a quarter of the messages get in addition.
 		loss, duplicate, tamper float64
 		maxExtraDelay           clock.Millis
-		// blocked, if set, reports the one-way links that drop all messages.
+		// blocked, if set, reports whether all messages from one node to another are
+		// lost.
 		blocked func(from, to ident.NodeID) bool
 		// transfers holds the start of each unconfirmed snapshot transfer by sender and
 		// receiver.
