--- a/io/admin/server.go
+++ b/io/admin/server.go
@@ -104,8 +104,8 @@
 	return s.listener.Addr().String()
 }
 
-// Run serves until ctx ends or Drain is called. It then waits a few seconds for
-// the requests in flight.
+// Run serves until ctx ends or Drain is called. If ctx ends, it drains the server for
+// at most shutdownTimeoutMillis.
 func (s *server) Run(ctx context.Context) error {
 	served := make(chan error, 1)
 	var wg conc.WaitGroup
--- a/io/admin/target.go
+++ b/io/admin/target.go
@@ -41,8 +41,8 @@
 		Starting bool
 	}
 
-	// Report is one report of a target, with the target's own ordering of its reports
-	// in Status.
+	// Report is one report of a target. Its Status determines its effect and its order
+	// among the target's reports.
 	Report struct {
 		report.Status
 		// Announcement describes the target; it is empty if the target leaves.
--- a/io/bench/admit.go
+++ b/io/bench/admit.go
@@ -58,8 +58,8 @@
 		arrival, runTime clock.Millis
 	}
 
-	// admitTrial is the state and the figures of one run.
-	admitTrial struct {
+	// admitSimulation is the state and the figures of one run.
+	admitSimulation struct {
 		admitter admitter
 		// phase is the duration of the overload, and of the half load after it.
 		phase clock.Millis
@@ -135,7 +135,7 @@
 
 // addAdmission runs the load on an admitter and adds a row for each class.
 func (t *Table) addAdmission(name string, a admitter, phase clock.Millis, load []offeredCall) {
-	r := &admitTrial{
+	r := &admitSimulation{
 		admitter: a, phase: phase, calls: make(map[ident.RequestID]offeredCall), waiting: make(map[ident.RequestID]bool),
 	}
 	for i := range r.classes {
@@ -169,7 +169,7 @@
 }
 
 // advance processes the completions up to now.
-func (r *admitTrial) advance(now clock.Millis) {
+func (r *admitSimulation) advance(now clock.Millis) {
 	for len(r.completions) > 0 && r.completions[0].at <= now {
 		e := r.completions[0]
 		r.completions = r.completions[1:]
@@ -188,7 +188,7 @@
 }
 
 // apply carries out the actions of the admitter.
-func (r *admitTrial) apply(now clock.Millis, actions []admit.Action) {
+func (r *admitSimulation) apply(now clock.Millis, actions []admit.Action) {
 	for _, a := range actions {
 		c := r.calls[a.ID]
 		delete(r.waiting, a.ID)
--- a/io/bench/cost.go
+++ b/io/bench/cost.go
@@ -39,7 +39,7 @@
 
 // PickCost measures one choice of a target with its outcome, with 790 members of one
 // service: without and with excluded targets, and with a recorded decision. It also
-// measures the change of the view. Times depend on the machine; compare only the rows
+// measures Picker.SetView. Times depend on the machine; compare only the rows
 // of one run.
 func PickCost(runs int) *Table {
 	t := NewTable(fmt.Sprintf("cost of a choice and its outcome, %d members, %d runs", costMembers, runs),
--- a/io/bench/path.go
+++ b/io/bench/path.go
@@ -30,7 +30,7 @@
 	// pathSlice is the duration of one slice. Slices of direct calls and of calls over
 	// the path alternate, so that noise of the machine affects both alike.
 	pathSlice = 500 * time.Millisecond
-	// pathRequestBytes and pathAnswerBytes are the sizes of the bodies.
+	// pathRequestBytes and pathResponseBytes are the sizes of the bodies.
 	pathRequestBytes  = 256
 	pathResponseBytes = 1024
 	// pathTimeout bounds one call.
--- a/io/bench/retry.go
+++ b/io/bench/retry.go
@@ -77,8 +77,10 @@
 		"failures", "idempotent", "rule", "executions at the bottom per call", "at all levels per call", "answered %", "cut off")
 	for _, failures := range []string{mixedFailures, allAnswersLost} {
 		for _, idempotent := range []bool{false, true} {
-			t.addChain(calls, maxExecutions, failures, "no retries", idempotent, func(int, clock.Millis, retry.CallState, result.Verdict) bool { return false })
-			t.addChain(calls, maxExecutions, failures, "3 attempts on any failure", idempotent, func(_ int, _ clock.Millis, a retry.CallState, _ result.Verdict) bool { return a.Sent < 3 })
+			t.addChain(calls, maxExecutions, failures, "no retries", idempotent,
+				func(int, clock.Millis, retry.CallState, result.Verdict) bool { return false })
+			t.addChain(calls, maxExecutions, failures, "3 attempts on any failure", idempotent,
+				func(_ int, _ clock.Millis, a retry.CallState, _ result.Verdict) bool { return a.Sent < 3 })
 			for _, name := range []string{"budget only", "verdict rule only", "budget and verdict rule"} {
 				t.addPolicy(calls, maxExecutions, failures, name, idempotent)
 			}
@@ -110,7 +112,10 @@
 
 // addChain runs all calls through a chain under a retry rule and adds a row.
 func (t *Table) addChain(maxCalls, maxExecutions int, failures, name string, idempotent bool, r retryRule, budgets ...*retry.Budget) {
-	c := &chain{rand: rand.New(rand.NewPCG(retrySeed, 1)), rule: r, idempotent: idempotent, failures: failures, budgets: budgets, maxExecutions: maxExecutions}
+	c := &chain{
+		rand: rand.New(rand.NewPCG(retrySeed, 1)), rule: r, idempotent: idempotent, failures: failures,
+		budgets: budgets, maxExecutions: maxExecutions,
+	}
 	calls := 0
 	for ; calls < maxCalls && c.executions < maxExecutions; calls++ {
 		c.now += 10
--- a/io/bench/route.go
+++ b/io/bench/route.go
@@ -103,8 +103,8 @@
 		exclude []ident.TargetID
 		target  *simTarget
 		sentAt  clock.Millis
-		// attempt grows at the start and at the end of each attempt, so that an event of
-		// an earlier attempt is recognized as stale.
+		// attempt is incremented at the start and at the end of each attempt, so that
+		// events of an earlier attempt are recognized as stale.
 		attempt int
 		// queued reports whether the current attempt waits at its gate.
 		queued   bool
--- a/io/bench/traffic.go
+++ b/io/bench/traffic.go
@@ -62,7 +62,8 @@
 	time.Sleep(d)
 	after := totals(fleet)
 	perNodeSecond := func(i int) float64 { return (after[i] - before[i]) / d.Seconds() / float64(nodes) }
-	t.Add(nodes, after[4]/float64(nodes), perNodeSecond(0), perNodeSecond(1), perNodeSecond(2), perNodeSecond(3), (perNodeSecond(2)-perNodeSecond(1))/perNodeSecond(0))
+	t.Add(nodes, after[4]/float64(nodes), perNodeSecond(0), perNodeSecond(1), perNodeSecond(2), perNodeSecond(3),
+		(perNodeSecond(2)-perNodeSecond(1))/perNodeSecond(0))
 	return t, nil
 }
 
--- a/io/cmds/node.go
+++ b/io/cmds/node.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// platformCommand returns the command that runs a stand-in for the platform.
+// platformCommand returns the command that runs the stub of the platform.
 func platformCommand(stdout io.Writer) *command {
 	var listen string
 	return &command{
--- a/io/cmds/watch.go
+++ b/io/cmds/watch.go
@@ -60,7 +60,7 @@
 	// errNotEverywhere reports a release that is not in force on every live node when
 	// the timeout expires.
 	errNotEverywhere = errors.New("the release is not in force everywhere")
-	// errNoRelease reports that there is nothing to watch.
+	// errNoRelease reports that no release exists that could be watched.
 	errNoRelease = errors.New("there is no release yet")
 )
 
--- a/io/conf/parse.go
+++ b/io/conf/parse.go
@@ -24,7 +24,7 @@
 		Line int
 		// Key is the full key, such as Limits.BodyBytes.
 		Key string
-		// Value is the refused value as it is written in the file; empty for a
+		// Value is the refused value as text, with a string in quotes; empty for a
 		// missing key.
 		Value string
 		// Allowed describes the accepted values.
--- a/io/conf/settings.go
+++ b/io/conf/settings.go
@@ -18,13 +18,13 @@
 		Node          ident.NodeID
 		FailureDomain ident.FailureDomain
 		Region        ident.Region
-		// Service and Target are both set or both empty.
+		// Service and Target are both set or both empty, unless Platform is rows.
 		Service ident.ServiceName
 		Target  ident.TargetID
 
 		// CallerAddress to PeerAddress are IP:port addresses that the node binds.
 		CallerAddress string
-		// TargetAddress is on a loopback interface.
+		// TargetAddress is on a loopback interface, unless Platform is rows.
 		TargetAddress   string
 		AdminAddress    string
 		OperatorAddress string
--- a/io/demo/callers.go
+++ b/io/demo/callers.go
@@ -18,9 +18,9 @@
 // verdictHeader is the response header that indicates whether a request may have run.
 const verdictHeader = "Hickoryrail-Verdict"
 
-// Callers send calls to the nodes until their context ends.
+// Callers is a group of callers that send calls to the nodes.
 type Callers struct {
-	// Addresses are the addresses of the nodes for callers.
+	// Addresses are the addresses at which the nodes accept callers.
 	Addresses []string
 	// Count is the number of callers, each with one call at a time.
 	Count int
--- a/io/demo/observe.go
+++ b/io/demo/observe.go
@@ -25,7 +25,7 @@
 	return lowest
 }
 
-// CallerAddresses returns the addresses of the nodes for callers.
+// CallerAddresses returns the addresses at which the nodes accept callers.
 func (f *Fleet) CallerAddresses() []string {
 	out := make([]string, len(f.nodes))
 	for i, n := range f.nodes {
--- a/io/keys/authority.go
+++ b/io/keys/authority.go
@@ -40,7 +40,7 @@
 	// secretMode and publicMode are the permissions of files with and without secrets.
 	secretMode = 0o600
 	publicMode = 0o644
-	// directoryMode is the permission of the key directory.
+	// directoryMode holds the permissions of the key directory.
 	directoryMode = 0o700
 )
 
--- a/io/logs/decision.go
+++ b/io/logs/decision.go
@@ -11,7 +11,7 @@
 const (
 	// Route is the choice of a target for an attempt.
 	Route Kind = iota
-	// Admit is the start, queueing or rejection of a request at a gate.
+	// Admit is the start, queueing or refusal of a request at a gate.
 	Admit
 	// Retry is the decision whether and when to make another attempt.
 	Retry
--- a/io/logs/filter.go
+++ b/io/logs/filter.go
@@ -47,10 +47,10 @@
 	return f == All || f == Problems && d.Problem()
 }
 
-// Problem reports whether d needs an operator's attention: a rejection, a retry, an
-// ejection, or a change of a member, release or lease. The choice of a target or the
-// start of a request at a gate has no verdict yet, so MayHaveRun, the zero verdict, is
-// not a problem for these kinds.
+// Problem reports whether d needs an operator's attention: a refusal, a retry, an
+// ejection, a failed answer, or a change of a member, release or lease. The choice of a
+// target or the start of a request at a gate has no verdict yet, so MayHaveRun, the zero
+// verdict, is not a problem for these kinds.
 func (d *Decision) Problem() bool {
 	switch {
 	case d.Kind == Answer:
