--- a/io/frame/serve.go
+++ b/io/frame/serve.go
@@ -67,7 +67,9 @@
 	}
 	ctx, cancel := context.WithCancel(t.runCtx)
 	defer cancel()
-	s := &acceptedConnection{transport: t, conn: conn, node: ident.NodeID(m.payload), ctx: ctx, cancels: make(map[callID]context.CancelFunc)}
+	s := &acceptedConnection{
+		transport: t, conn: conn, node: ident.NodeID(m.payload), ctx: ctx, cancels: make(map[callID]context.CancelFunc),
+	}
 	t.mu.Lock()
 	if t.closed {
 		t.mu.Unlock()
@@ -108,7 +110,7 @@
 	}
 }
 
-// call starts a call, or refuses it if the transport is draining.
+// call starts a call, or refuses it if the transport is draining or has no OnCall.
 func (s *acceptedConnection) call(m message) {
 	t := s.transport
 	t.mu.Lock()
--- a/io/httpd/server_test.go
+++ b/io/httpd/server_test.go
@@ -132,9 +132,9 @@
 	}
 }
 
-// TestCloseAfterPipelinedRequests guards against a response that closes the connection while a
-// later pipelined request runs: the caller would assume that this request was not read
-// and send it again.
+// TestCloseAfterPipelinedRequests guards against a response that closes the connection
+// while a later pipelined request runs: the caller would assume that this request was
+// not read and send it again.
 func TestCloseAfterPipelinedRequests(t *testing.T) {
 	is := is.New(t)
 	entered, release := make(chan struct{}, 2), make(chan struct{})
--- a/io/peer/serve.go
+++ b/io/peer/serve.go
@@ -50,7 +50,8 @@
 	}
 }
 
-// serveCall runs one request, or refuses it if the transport is draining.
+// serveCall runs one request, or refuses it if the transport is draining or has no
+// OnCall.
 func (t *Transport) serveCall(c *connection, s *quic.Stream, body []byte) {
 	if t.OnCall == nil || !t.start(c) {
 		t.metrics.refused.Inc()
--- a/io/peer/transport.go
+++ b/io/peer/transport.go
@@ -35,8 +35,8 @@
 	codeClosed = 0
 	// codeNotRun indicates that no call on the stream or connection was run.
 	codeNotRun = 1
-	// codeCancelled indicates that the caller or the sender gave up the stream or
-	// connection.
+	// codeCancelled indicates that one side, for a call the caller, cancelled the
+	// stream or connection.
 	codeCancelled = 2
 	// codeFailed indicates that the handler failed after it was started.
 	codeFailed = 3
@@ -261,8 +261,8 @@
 
 // resetKey returns the key for stateless resets. It is derived from the node's private
 // key and so stays the same when the process is replaced: a packet of more than 42 bytes
-// on a connection to the earlier process is answered with a reset that the peer
-// accepts. It returns nil if the private key has no seed.
+// on a connection to the earlier process is answered with a reset, from which the peer
+// learns that the connection is gone. It returns nil if the private key has no seed.
 func (t *Transport) resetKey() *quic.StatelessResetKey {
 	private, ok := t.Identity.Certificate.PrivateKey.(interface{ Seed() []byte })
 	if !ok {
--- a/io/proxy/attempt.go
+++ b/io/proxy/attempt.go
@@ -119,7 +119,7 @@
 	now := in.Clock.Now()
 	o := route.Outcome{Delay: now - sent, Gate: choice.Target.GateIncarnation}
 	if err != nil {
-		// An attempt that this node cancelled is no evidence against its target.
+		// An attempt that this node cancelled does not count as a failure of its target.
 		o.Failed = ctx.Err() == nil || now >= c.deadline
 		resp = in.resolveUnanswered(c, choice.Target, &r, err)
 	} else {
--- a/io/proxy/dialect.go
+++ b/io/proxy/dialect.go
@@ -22,7 +22,7 @@
 		// given the id of the call; empty for a request without a parent. Nil means
 		// that ids do not identify a parent.
 		ParentID func(id []byte) []byte
-		// OriginHeader names the header with the service on the machine where a
+		// OriginHeader names the header with the service of the machine on which a
 		// request originated; if empty, none is sent.
 		OriginHeader string
 		// TargetHeader names the header with the id of the target that a request is
--- a/io/proxy/dialect_test.go
+++ b/io/proxy/dialect_test.go
@@ -28,7 +28,8 @@
 // customDialect returns a dialect whose header names differ from hickoryrail's own.
 func customDialect() Dialect {
 	return Dialect{
-		TimeoutHeader: "Time-Left", RequestIDHeader: "Call", OriginHeader: "From-Service", TargetHeader: "For-Target", SignatureHeader: "Stamp", OmitVerdictHeaders: true,
+		TimeoutHeader: "Time-Left", RequestIDHeader: "Call", OriginHeader: "From-Service", TargetHeader: "For-Target",
+		SignatureHeader: "Stamp", OmitVerdictHeaders: true,
 		Unexecuted: func(status int, header func(string) []byte) bool {
 			return status == http.StatusMisdirectedRequest || len(header("Unrun")) > 0
 		},
--- a/io/proxy/gateway.go
+++ b/io/proxy/gateway.go
@@ -147,11 +147,11 @@
 	}
 	g.Limits = g.Limits.withDefaults()
 	g.Dialect = g.Dialect.withDefaults()
-	orDefault(&g.QueueLength, DefaultQueueLength)
-	orDefault(&g.MaxRecords, DefaultMaxRecords)
-	orDefault(&g.AgeingMillis, DefaultAgeingMillis)
-	orDefault(&g.RunMillis, DefaultRunMillis)
-	orDefault(&g.OccupiedMillis, DefaultOccupiedMillis)
+	setDefault(&g.QueueLength, DefaultQueueLength)
+	setDefault(&g.MaxRecords, DefaultMaxRecords)
+	setDefault(&g.AgeingMillis, DefaultAgeingMillis)
+	setDefault(&g.RunMillis, DefaultRunMillis)
+	setDefault(&g.OccupiedMillis, DefaultOccupiedMillis)
 	g.gate = admit.Gate{
 		Order:       g.Order,
 		QueueLength: g.QueueLength, AgeingMillis: g.AgeingMillis, ActionEvery: ActionEvery,
@@ -161,7 +161,7 @@
 	g.reschedule = make(chan struct{}, 1)
 	g.calls = make(map[ident.RequestID]*gateCall)
 	g.byCallerID = make(map[ident.RequestID]*gateCall)
-	return g.metrics.open(g.Registry, g.Load)
+	return g.metrics.register(g.Registry, g.Load)
 }
 
 // Running reports whether the local target runs the request to which its caller gave
--- a/io/proxy/ingress.go
+++ b/io/proxy/ingress.go
@@ -29,7 +29,7 @@
 
 const (
 	// DefaultLingerMillis is how long a draining ingress waits for callers to use
-	// their open connections once more and be told that these are closing.
+	// their open connections once more and receive a response that closes them.
 	DefaultLingerMillis = 2 * clock.Second
 	// readMillis bounds the arrival of one request and the writing of one response.
 	readMillis = 30 * clock.Second
@@ -149,13 +149,13 @@
 		in.Log = logs.Discard{}
 	}
 	in.Limits = in.Limits.withDefaults()
-	orDefault(&in.LingerMillis, DefaultLingerMillis)
+	setDefault(&in.LingerMillis, DefaultLingerMillis)
 	var nonce [8]byte
 	if _, err := rand.Read(nonce[:]); err != nil {
 		return err
 	}
 	in.idPrefix = string(in.Self) + "." + hex.EncodeToString(nonce[:]) + "."
-	if err := in.metrics.open(in.Registry); err != nil {
+	if err := in.metrics.register(in.Registry); err != nil {
 		return err
 	}
 	listener, err := net.Listen("tcp", in.Listen)
--- a/io/proxy/ingressmetrics.go
+++ b/io/proxy/ingressmetrics.go
@@ -18,8 +18,8 @@
 	delay    prometheus.Histogram
 }
 
-// open creates the collectors and registers them with r.
-func (m *ingressMetrics) open(r prometheus.Registerer) error {
+// register creates the collectors and registers them with r.
+func (m *ingressMetrics) register(r prometheus.Registerer) error {
 	verdicts := stats.Counters("ingress_requests_total", "Requests of callers that were answered.", "verdict")
 	for i := range verdictCount {
 		m.verdicts[i] = verdicts.WithLabelValues(result.Verdict(i).String())
--- a/io/proxy/limits.go
+++ b/io/proxy/limits.go
@@ -31,8 +31,8 @@
 
 // withDefaults returns l with the defaults of its zero fields.
 func (l Limits) withDefaults() Limits {
-	orDefault(&l.BodyBytes, DefaultBodyBytes)
-	orDefault(&l.HeaderBytes, DefaultHeaderBytes)
+	setDefault(&l.BodyBytes, DefaultBodyBytes)
+	setDefault(&l.HeaderBytes, DefaultHeaderBytes)
 	return l
 }
 
@@ -42,8 +42,8 @@
 	return int(l.BodyBytes) + int(l.HeaderBytes) + wire.CallOverheadBytes
 }
 
-// orDefault sets v to d if it is not positive.
-func orDefault[T int | ident.Bytes | clock.Millis](v *T, d T) {
+// setDefault sets v to d if it is not positive.
+func setDefault[T int | ident.Bytes | clock.Millis](v *T, d T) {
 	if *v <= 0 {
 		*v = d
 	}
--- a/io/proxy/linger.go
+++ b/io/proxy/linger.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// lingerMillis bounds how long the rest of a refused request is read before its
+	// lingerCloseMillis bounds how long the rest of a refused request is read before its
 	// connection is closed.
-	lingerMillis = 200 * clock.Millis(1)
-	// lingerBytes bounds how much of the rest is read.
-	lingerBytes = 8 << 20
+	lingerCloseMillis = 200 * clock.Millis(1)
+	// lingerCloseBytes bounds how much of the rest is read.
+	lingerCloseBytes = 8 << 20
 )
 
 type (
@@ -59,8 +59,8 @@
 func (c *lingerConn) Close() error {
 	if c.linger.Swap(false) {
 		_ = c.CloseWrite()
-		_ = c.SetReadDeadline(time.Now().Add(lingerMillis.Duration()))
-		_, _ = io.CopyN(io.Discard, c.TCPConn, lingerBytes)
+		_ = c.SetReadDeadline(time.Now().Add(lingerCloseMillis.Duration()))
+		_, _ = io.CopyN(io.Discard, c.TCPConn, lingerCloseBytes)
 	}
 	return c.TCPConn.Close()
 }
--- a/io/proxy/metrics.go
+++ b/io/proxy/metrics.go
@@ -22,7 +22,7 @@
 
 type (
 	// gatewayMetrics holds the metrics of the gateway. The counters of all label
-	// values are looked up once, in open.
+	// values are looked up once, in register.
 	gatewayMetrics struct {
 		started  [classCount]prometheus.Counter
 		refused  [classCount]prometheus.Counter
@@ -32,8 +32,8 @@
 	}
 )
 
-// open creates the collectors and registers them with r.
-func (m *gatewayMetrics) open(r prometheus.Registerer, load func() admit.Load) error {
+// register creates the collectors and registers them with r.
+func (m *gatewayMetrics) register(r prometheus.Registerer, load func() admit.Load) error {
 	decisions := stats.Counters("gateway_decisions_total", "Decisions of the admission gate.", "decision", "class")
 	for i := range classCount {
 		class := model.Class(i).String()
--- a/io/proxy/target.go
+++ b/io/proxy/target.go
@@ -268,8 +268,8 @@
 }
 
 // read reads the final response. A body that ends with the connection looks complete
-// even when it was cut, so it is refused unless allowEOF says that the dialect has a
-// signature, which callers check.
+// even when it was cut, so it is refused unless allowEOF indicates that the dialect has
+// a signature, which callers check.
 func (x *exchange) read(b *bufio.Reader, limit int, allowEOF bool) error {
 	h := &x.resp.Header
 	for interim := 0; ; interim++ {
--- a/io/wire/call.go
+++ b/io/wire/call.go
@@ -36,8 +36,7 @@
 		// Attempt counts from 1.
 		Attempt int
 		// Repeated is set if an earlier attempt may have reached a target, or if
-		// the call was made while a target handled a request that was itself
-		// repeated.
+		// the request on whose behalf the call is made is a repeated one.
 		Repeated   bool
 		Route      ident.RouteName
 		Class      model.Class
