--- a/io/node/fixture_test.go
+++ b/io/node/fixture_test.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// background runs f until the test ends.
+// background calls run with a context that ends with the test, and waits for its return.
 func (f *testFleet) background(run func(context.Context) error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var g conc.WaitGroup
--- a/io/node/hosted.go
+++ b/io/node/hosted.go
@@ -53,8 +53,9 @@
 	// whatever its score. Near targets get nearly all calls, so the measurements of far
 	// ones would otherwise be out of date.
 	hostedStaleMillis = 10 * clock.Second
-	// hostedSourceTimeoutMillis is how long a starting node waits for its own first read of the
-	// source, which it makes in any case, before it fetches the release from neighbours.
+	// hostedSourceTimeoutMillis is how long a starting node waits for its own first read of
+	// the source, which it makes in any case, before it fetches the release from
+	// neighbours.
 	hostedSourceTimeoutMillis = 800 * clock.Millis(1)
 	// hostedFetchTimeoutMillis is the timeout of a fetch from a neighbour, which may have
 	// stopped. Several fetches fit into the time in which a release must be in force.
@@ -87,8 +88,8 @@
 
 	// Prober identifies the target that listens at an address.
 	Prober interface {
-		// Probe sends a health check to path. It returns a report of the target, with
-		// its slots and requests in flight, if the target is healthy.
+		// Probe sends a health check for path to address. It returns a report of the
+		// target, with its slots and requests in flight, if the target is healthy.
 		Probe(ctx context.Context, address, path string) (admin.Report, error)
 	}
 
@@ -238,8 +239,8 @@
 
 // lameDuck goes on serving callers and other nodes for d. stopAdmitMillis before the end
 // it announces that the local target is draining, so that other nodes route their calls
-// elsewhere. The target is out of service from then until the next start, so this part is
-// kept short.
+// elsewhere. The target is out of service from then until the node starts again, so this
+// part is kept short.
 func (n *Node) lameDuck(ctx context.Context, d clock.Millis) {
 	sleep(ctx, max(d-stopAdmitMillis, 0).Duration())
 	n.localTarget.announceDraining()
--- a/io/node/hosted_test.go
+++ b/io/node/hosted_test.go
@@ -24,9 +24,9 @@
 )
 
 type (
-	// hostedPlatform is a simulated platform for hosted nodes. It implements plat.Source
+	// fakePlatform is a fake of the platform for hosted nodes. It implements plat.Source
 	// with one release and plat.Directory, and its endpoints do nothing.
-	hostedPlatform struct {
+	fakePlatform struct {
 		// mu guards the fields below.
 		mu      sync.Mutex
 		release model.Release
@@ -55,7 +55,7 @@
 
 func (noopEndpoint) Drain(context.Context) error { return nil }
 
-func (h *hostedPlatform) Newest(context.Context) (model.Release, ident.Revision, error) {
+func (h *fakePlatform) Newest(context.Context) (model.Release, ident.Revision, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.newestFails {
@@ -65,7 +65,7 @@
 	return h.release, ident.Revision(h.release.Version), nil
 }
 
-func (h *hostedPlatform) Next(ctx context.Context, after ident.Revision) (model.Release, ident.Revision, error) {
+func (h *fakePlatform) Next(ctx context.Context, after ident.Revision) (model.Release, ident.Revision, error) {
 	for {
 		h.mu.Lock()
 		r, changed := h.release, h.changed
@@ -84,7 +84,7 @@
 }
 
 // publish replaces the release of the source by one with another timeout.
-func (h *hostedPlatform) publish(t *testing.T) {
+func (h *fakePlatform) publish(t *testing.T) {
 	t.Helper()
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -100,14 +100,14 @@
 	h.changed = make(chan struct{})
 }
 
-func (h *hostedPlatform) Register(_ context.Context, s member.Seed) error {
+func (h *fakePlatform) Register(_ context.Context, s member.Seed) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.seeds[s.Node] = s
 	return nil
 }
 
-func (h *hostedPlatform) Nodes(context.Context) ([]member.Seed, error) {
+func (h *fakePlatform) Nodes(context.Context) ([]member.Seed, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []member.Seed
@@ -117,8 +117,8 @@
 	return out, nil
 }
 
-// newHostedPlatform returns a platform whose release has one route, to the service orders.
-func newHostedPlatform(t *testing.T) *hostedPlatform {
+// newFakePlatform returns a platform whose release has one route, to the service orders.
+func newFakePlatform(t *testing.T) *fakePlatform {
 	t.Helper()
 	r, err := model.NewRelease(1, "e", model.Configuration{
 		Inventory: model.Inventory{Services: []model.Service{{Name: "orders", Connections: 9, TargetSlots: true}}},
@@ -130,11 +130,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &hostedPlatform{release: r, seeds: make(map[ident.NodeID]member.Seed), changed: make(chan struct{})}
+	return &fakePlatform{release: r, seeds: make(map[ident.NodeID]member.Seed), changed: make(chan struct{})}
 }
 
 // start starts a hosted node, which the test has to stop.
-func (h *hostedPlatform) start(t *testing.T, id ident.NodeID) (*Node, *conf.Settings) {
+func (h *fakePlatform) start(t *testing.T, id ident.NodeID) (*Node, *conf.Settings) {
 	t.Helper()
 	s, err := conf.Parse(`Node = "` + string(id) + `"
 FailureDomain = "d"
@@ -193,7 +193,7 @@
 // target that one of them cannot reach, and against requests that run after a drain.
 func TestHostedNodes(t *testing.T) {
 	is := is.New(t)
-	h := newHostedPlatform(t)
+	h := newFakePlatform(t)
 	a, _ := h.start(t, "a")
 	b, _ := h.start(t, "b")
 	target := http.Server{Addr: "127.0.0.1:0", Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -239,7 +239,7 @@
 // another node has the release.
 func TestHostedWithoutSource(t *testing.T) {
 	is := is.New(t)
-	h := newHostedPlatform(t)
+	h := newFakePlatform(t)
 	a, _ := h.start(t, "a")
 	await(t, "the release at the first node", a.Ready)
 	h.mu.Lock()
@@ -261,7 +261,7 @@
 // not wait for changes itself, or because the nodes that do have stopped.
 func TestFewNodesWatch(t *testing.T) {
 	is := is.New(t)
-	h := newHostedPlatform(t)
+	h := newFakePlatform(t)
 	var nodes []*Node
 	for _, id := range []ident.NodeID{"a", "b", "c", "d", "e", "f"} {
 		n, _ := h.start(t, id)
--- a/io/node/lifecycle.go
+++ b/io/node/lifecycle.go
@@ -78,8 +78,7 @@
 	return err
 }
 
-// Run runs a node with these settings until ctx ends, and then stops it
-// gracefully.
+// Run runs a node with these settings until ctx ends, and then stops it gracefully.
 func Run(ctx context.Context, s conf.Settings, output io.Writer) error {
 	n, err := New(s, output)
 	if err != nil {
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -35,7 +35,8 @@
 	"hickoryrail/io/wire"
 )
 
-// Names of the services in the kernel, in the order of their start.
+// Names of the services in the kernel. The method register lists them in the order of
+// their start.
 const (
 	serviceLog       kernel.Name = "decision log"
 	serviceTransport kernel.Name = "transport"
@@ -165,7 +166,7 @@
 	n.stallMonitor.transport, n.ingress.Peers = n.transport, n.transport
 }
 
-// wireProxy creates the gateway, the stall detector and the ingress, without the
+// wireProxy creates the gateway, the stall monitor and the ingress, without the
 // transport.
 func (n *Node) wireProxy(random *rand.Rand) {
 	s := n.settings
@@ -190,7 +191,7 @@
 // onCall returns the response to a call of another node.
 func (n *Node) onCall(ctx context.Context, from ident.NodeID, body []byte) []byte {
 	if wire.IsVersionQuery(body) {
-		return n.status.heldAnswer()
+		return n.status.heldReply()
 	}
 	return n.gateway.OnCall(ctx, from, body)
 }
--- a/io/node/status.go
+++ b/io/node/status.go
@@ -118,8 +118,8 @@
 	return held
 }
 
-// heldAnswer returns the encoded reply to a query for the version in force.
-func (s *status) heldAnswer() []byte {
+// heldReply returns the encoded reply to a query for the version in force.
+func (s *status) heldReply() []byte {
 	s.fleet.mu.Lock()
 	defer s.fleet.mu.Unlock()
 	return wire.EncodeVersionReply(s.fleet.inForce.Version)
--- a/io/node/watcher.go
+++ b/io/node/watcher.go
@@ -162,8 +162,9 @@
 	return revision, true
 }
 
-// readNext waits for a newer release. It returns false if the newest release has to be
-// read again, because the source no longer has the changes after that revision.
+// readNext waits for a newer release. It returns false if ctx has ended, or if the newest
+// release has to be read again because the source no longer has the changes after that
+// revision.
 func (w *watcher) readNext(ctx context.Context, after ident.Revision) (ident.Revision, bool) {
 	r, revision, err := w.source.Next(ctx, after)
 	switch {
--- a/io/plat/leasekeeper.go
+++ b/io/plat/leasekeeper.go
@@ -68,7 +68,7 @@
 		return err
 	}
 	k.responses = make(chan func(clock.Millis) []lease.Action, 1)
-	calls, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	callCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer k.calls.Wait()
 	defer cancel()
 	ticker := time.NewTicker((k.Lease.Timing.RenewMillis / ticksPerRenewal).Duration())
@@ -76,11 +76,11 @@
 	for {
 		select {
 		case <-ctx.Done():
-			return k.release(calls)
+			return k.release(callCtx)
 		case <-ticker.C:
-			k.handle(calls, k.Lease.Tick)
+			k.handle(callCtx, k.Lease.Tick)
 		case report := <-k.responses:
-			k.handle(calls, report)
+			k.handle(callCtx, report)
 		}
 	}
 }
--- a/io/stub/server.go
+++ b/io/stub/server.go
@@ -79,10 +79,10 @@
 
 // handleError responds to a failed call with the status of its error.
 func handleError(c *fiber.Ctx, err error) error {
-	var known *fiber.Error
+	var fiberErr *fiber.Error
 	switch {
-	case errors.As(err, &known):
-		return c.Status(known.Code).SendString(known.Message)
+	case errors.As(err, &fiberErr):
+		return c.Status(fiberErr.Code).SendString(fiberErr.Message)
 	case errors.Is(err, plat.ErrConflict):
 		return c.Status(fiber.StatusConflict).SendString(err.Error())
 	case errors.Is(err, plat.ErrNotFound):
--- a/io/target/server.go
+++ b/io/target/server.go
@@ -1,5 +1,5 @@
-// Package target provides a target for tests and demos: an HTTP server that announces
-// itself to its node and counts how often it ran each action.
+// Package target provides a stand-in target for tests and demos: an HTTP server that
+// announces itself to its node and counts how often it ran each action.
 package target
 
 import (
@@ -100,7 +100,7 @@
 }
 
 // Drain announces to the node that the target is draining, waits until no request is in
-// flight, and leaves. It returns the error of ctx if that ends first.
+// flight, and leaves. It returns the error of ctx if ctx ends first.
 func (s *Server) Drain(ctx context.Context) error {
 	s.draining.Store(true)
 	if err := s.post("/drain"); err != nil {
